--- a/src/ferryledge/health/__init__.py
+++ b/src/ferryledge/health/__init__.py
@@ -1,4 +1,4 @@
-"""Judges endpoints by the ends of their tasks."""
+"""Endpoint health: failure rates, ejection and probing."""
 
 import typing
 
@@ -18,7 +18,7 @@
     Healthy = _judge.Healthy
     Probing = _judge.Probing
 else:
-    # An agent counts failures; it judges nobody.
+    # Agents use the failure rate alone, so the rest is loaded on demand.
     __getattr__ = _lazy.attach(
         __name__,
         {
--- a/src/ferryledge/health/_judge.py
+++ b/src/ferryledge/health/_judge.py
@@ -1,8 +1,8 @@
-"""Ejects endpoints that fail what they start, and probes them back in.
+"""Outlier detection: ejects failing endpoints and probes them later.
 
-A failure speaks against an endpoint only as far as the same service does
-better elsewhere, and one job speaks once: so a job that can never run, or
-a service that is broken everywhere, ejects nobody.
+A failure is weighted by the success rate of its service on all endpoints,
+and repeated failures of one job count once. A job that always fails, or a
+service that fails everywhere, therefore ejects no endpoint.
 """
 
 import dataclasses
@@ -12,39 +12,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HealthOptions:
-    """When an endpoint is ejected, and for how long."""
+    """Thresholds and durations of ejections."""
 
-    #: Weight of the newest end in the failure rate, from 0 to 1.
+    #: Weight of the latest task end in the failure rate, from 0 to 1.
     decay: float = _rate.DECAY
     #: Failure rate at which an endpoint is ejected.
     eject_at: float = _rate.EJECT_AT
-    #: Largest share of the endpoints that are ejected at once.
+    #: Largest share of the endpoints that may be ejected at once.
     max_ejected: float = 0.34
-    #: First ejection in seconds; doubles each time.
+    #: Length of the first ejection in seconds; each further one doubles.
     first_ejection_s: float = 1.0
-    #: Longest ejection in seconds.
+    #: Upper bound on the length of an ejection, in seconds.
     longest_ejection_s: float = 60.0
-    #: Seconds without an ejection after which the next is a first one again.
+    #: Seconds after an ejection's end until the doubling starts over.
     forget_after_s: float = 20.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Healthy:
-    """Takes work as any other."""
+    """The endpoint takes work without restriction."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ejected:
-    """Takes no work until then, in monotonic seconds."""
+    """The endpoint takes no work until a given time."""
 
+    #: End of the ejection, in monotonic seconds.
     until: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Probing:
-    """Takes one task; its end decides."""
+    """The endpoint takes one task, whose end decides on its state."""
 
-    #: Whether the task is on its way.
+    #: Whether the probing task was sent.
     sent: bool = False
 
 
@@ -52,196 +53,219 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Row:
+class _Record:
+    """State and failure total_of_others of one endpoint."""
+
     state: Health = dataclasses.field(default_factory=Healthy)
-    seen: _rate.FailureRate = dataclasses.field(
+    local: _rate.FailureRate = dataclasses.field(
         default_factory=_rate.FailureRate
     )
     ejections: int = 0
-    #: When its last ejection ended.
-    admitted_at: float = float("-inf")
-    #: Failure rate that others tell, and how many failures they counted.
-    told: float = 0.0
-    told_failures: int = 0
-    #: Failures told that count no more: it did well since.
-    forgiven: int = 0
-
-    def take_told(self, rate: float, failures: int) -> bool:
-        """Take in what others tell; return whether it speaks against it."""
-        self.told = rate
+    #: When the last ejection ends or ended, in monotonic seconds.
+    ejected_until: float = float("-inf")
+    #: Failure rate that peers report.
+    reported_rate: float = 0.0
+    #: Failures that peers counted.
+    reported_failures: int = 0
+    #: Reported failures up to this count predate a readmission.
+    ignored_failures: int = 0
+
+    def record_report(self, rate: float, failures: int) -> bool:
+        """Record a report by peers.
+
+        :return: whether it holds failures that were not reported before
+        """
+        self.reported_rate = rate
         if not rate:
             return False
-        if failures < self.told_failures:
-            self.forgiven = 0  # Who counts began anew.
-        is_news = failures != self.told_failures and failures > self.forgiven
-        self.told_failures = failures
-        return is_news
+        if failures < self.reported_failures:
+            # The reporting peer restarted its count.
+            self.ignored_failures = 0
+        is_new = (
+            failures != self.reported_failures
+            and failures > self.ignored_failures
+        )
+        self.reported_failures = failures
+        return is_new
 
 
 class HealthJudge:
-    """Keeps each endpoint's failure rate and state.
+    """Tracks the failure rate and the health of each endpoint.
 
-    :param options: when to eject
+    :param options: thresholds and durations; the defaults if not given
     """
 
     def __init__(self, options: HealthOptions | None = None) -> None:
         self._options = options or HealthOptions()
-        self._rows: dict[str, _Row] = {}
-        self._services: dict[str, float] = {}
-        self._held: set[str] = set()
+        self._records: dict[str, _Record] = {}
+        self._service_failure_rates: dict[str, float] = {}
+        self._restricted: set[str] = set()
 
     def state(self, endpoint: str) -> Health:
-        """Return an endpoint's state."""
-        row = self._rows.get(endpoint)
-        return row.state if row else Healthy()
+        """Return an endpoint's health; an unknown endpoint is healthy."""
+        record = self._records.get(endpoint)
+        return record.state if record else Healthy()
 
     def failure_rate(self, endpoint: str) -> float:
-        """Return how often an endpoint failed here lately, from 0 to 1."""
-        row = self._rows.get(endpoint)
-        return row.seen.rate if row else 0.0
+        """Return the locally observed failure rate, from 0 to 1."""
+        record = self._records.get(endpoint)
+        return record.local.rate if record else 0.0
 
     @property
     def held(self) -> bool:
-        """Whether some endpoint is ejected or on trial."""
-        return bool(self._held)
+        """Whether any endpoint is ejected or probing."""
+        return bool(self._restricted)
 
     def join(self, endpoint: str) -> None:
-        """Start anew with an endpoint that was started or replaced."""
-        self._rows[endpoint] = _Row()
-        self._held.discard(endpoint)
+        """Add an endpoint, or reset one that restarted or was replaced."""
+        self._records[endpoint] = _Record()
+        self._restricted.discard(endpoint)
 
     def leave(self, endpoint: str) -> None:
-        """Forget an endpoint."""
-        self._rows.pop(endpoint, None)
-        self._held.discard(endpoint)
+        """Remove an endpoint."""
+        self._records.pop(endpoint, None)
+        self._restricted.discard(endpoint)
 
     def ended(
         self, endpoint: str, service: str, job: str, ok: bool, now: float
     ) -> None:
-        """Take in the end of a task.
+        """Record the end of a task.
 
-        :param endpoint: where it ran
-        :param service: its service
-        :param job: its job's submission
-        :param ok: whether it succeeded
+        :param endpoint: the endpoint that ran the task
+        :param service: the task's service
+        :param job: submission of the task's job
+        :param ok: whether the task succeeded
         :param now: monotonic seconds
         """
-        row = self._rows.setdefault(endpoint, _Row())
-        blame = self._blame(service, ok)
-        self._note_service(service, ok)
-        if isinstance(row.state, Probing):
-            self._end_probe(endpoint, row, ok, now)
+        record = self._records.setdefault(endpoint, _Record())
+        weight = self._failure_weight(service, ok)
+        self._record_service_end(service, ok)
+        if isinstance(record.state, Probing):
+            self._finish_probe(endpoint, record, ok, now)
             return
-        row.seen.add(job, blame, ok, self._options.decay)
-        over = row.seen.rate >= self._options.eject_at
-        if over and isinstance(row.state, Healthy) and self._may_eject():
-            self._eject(endpoint, row, now)
+        record.local.add(job, weight, ok, self._options.decay)
+        failing = record.local.rate >= self._options.eject_at
+        if failing and isinstance(record.state, Healthy) and self._may_eject():
+            self._eject(endpoint, record, now)
 
     def told(
         self, endpoint: str, rate: float, failures: int, now: float
     ) -> None:
-        """Take in what others saw of an endpoint.
+        """Record the failure rate that peers report of an endpoint.
 
-        What they counted before it did well here speaks no more.
+        Failures that were reported before the endpoint's last readmission
+        are ignored.
 
-        :param endpoint: where
-        :param rate: their failure rate; 0 is nothing known against it
-        :param failures: failures that they counted
+        :param endpoint: the endpoint's name
+        :param rate: the peers' failure rate; 0 readmits an endpoint whose
+            last reported rate reached the threshold
+        :param failures: the peers' count of failures
         :param now: monotonic seconds
         """
-        row = self._rows.setdefault(endpoint, _Row())
-        was_bad = row.told >= self._options.eject_at
-        is_news = row.take_told(rate, failures)
-        match row.state:
-            case Healthy() if is_news and self._is_told_bad(row):
+        record = self._records.setdefault(endpoint, _Record())
+        was_failing = record.reported_rate >= self._options.eject_at
+        is_new = record.record_report(rate, failures)
+        match record.state:
+            case Healthy() if is_new and self._is_outlier(record):
                 if self._may_eject():
-                    self._eject(endpoint, row, now)
-            case Probing(sent=False) if is_news and self._is_told_bad(row):
-                self._eject(endpoint, row, now)
-            case Ejected() | Probing() if was_bad and not rate:
-                self._admit(endpoint, row, now)
+                    self._eject(endpoint, record, now)
+            case Probing(sent=False) if is_new and self._is_outlier(record):
+                self._eject(endpoint, record, now)
+            case Ejected() | Probing() if was_failing and not rate:
+                self._readmit(endpoint, record, now)
             case _:
                 pass
 
     def probes_due(self, now: float) -> list[str]:
-        """Let ejections that are over turn into probes.
+        """Move endpoints whose ejection has ended to the probing state.
 
-        :return: the endpoints that may take one task each
+        :param now: monotonic seconds
+        :return: the endpoints that may now take one task each
         """
         due = []
-        for name, row in self._rows.items():
-            match row.state:
+        for name, record in self._records.items():
+            match record.state:
                 case Ejected(until) if until <= now:
-                    row.state = Probing()
+                    record.state = Probing()
                     due.append(name)
                 case _:
                     pass
         return due
 
     def probe_sent(self, endpoint: str) -> None:
-        """Note that the probing task is on its way."""
-        self._rows[endpoint].state = Probing(sent=True)
+        """Record that the probing task was sent."""
+        self._records[endpoint].state = Probing(sent=True)
 
     def probe_lost(self, endpoint: str) -> None:
-        """Note that the probing task never started."""
-        row = self._rows.get(endpoint)
-        if row is not None and isinstance(row.state, Probing):
-            row.state = Probing()
+        """Record that the probing task never started, to allow another."""
+        record = self._records.get(endpoint)
+        if record is not None and isinstance(record.state, Probing):
+            record.state = Probing()
 
     def next_probe_at(self) -> float:
-        """Return when the next ejection ends, in monotonic seconds."""
+        """Return the end of the next ejection, in monotonic seconds.
+
+        Infinity if no endpoint is ejected.
+        """
         ends = [
-            row.state.until
-            for row in self._rows.values()
-            if isinstance(row.state, Ejected)
+            record.state.until
+            for record in self._records.values()
+            if isinstance(record.state, Ejected)
         ]
         return min(ends, default=float("inf"))
 
-    def _is_told_bad(self, row: _Row) -> bool:
-        """Return whether an endpoint does worse than the others by far."""
-        others = len(self._rows) - 1
+    def _is_outlier(self, record: _Record) -> bool:
+        """Return whether peers see an endpoint fail more than the others.
+
+        The rate is discounted by the mean rate of the other endpoints.
+        """
+        others = len(self._records) - 1
         if not others:
             return False
-        rates = sum(one.told for one in self._rows.values()) - row.told
-        blame = 1.0 - rates / others
-        return row.told * blame >= self._options.eject_at
-
-    def _blame(self, service: str, ok: bool) -> float:
+        total_of_others = (
+            sum(other.reported_rate for other in self._records.values())
+            - record.reported_rate
+        )
+        weight = 1.0 - total_of_others / others
+        return record.reported_rate * weight >= self._options.eject_at
+
+    def _failure_weight(self, service: str, ok: bool) -> float:
+        """Return the share of a failure that counts for the endpoint."""
         if ok:
             return 0.0
-        return max(0.0, 1.0 - self._services.get(service, 0.0))
+        return max(0.0, 1.0 - self._service_failure_rates.get(service, 0.0))
 
-    def _note_service(self, service: str, ok: bool) -> None:
-        rate = self._services.get(service, 0.0)
+    def _record_service_end(self, service: str, ok: bool) -> None:
+        rate = self._service_failure_rates.get(service, 0.0)
         sample = 0.0 if ok else 1.0
-        self._services[service] = rate + 0.02 * (sample - rate)
+        self._service_failure_rates[service] = rate + 0.02 * (sample - rate)
 
     def _may_eject(self) -> bool:
-        most = self._options.max_ejected * len(self._rows)
-        return len(self._held) + 1 <= most
+        limit = self._options.max_ejected * len(self._records)
+        return len(self._restricted) + 1 <= limit
 
-    def _eject(self, endpoint: str, row: _Row, now: float) -> None:
+    def _eject(self, endpoint: str, record: _Record, now: float) -> None:
         options = self._options
-        if now - row.admitted_at > options.forget_after_s:
-            row.ejections = 0
-        self._held.add(endpoint)
-        row.ejections += 1
-        length = options.first_ejection_s * 2.0 ** (row.ejections - 1)
-        until = now + min(length, options.longest_ejection_s)
-        row.state = Ejected(until)
-        row.admitted_at = until
-
-    def _end_probe(
-        self, endpoint: str, row: _Row, ok: bool, now: float
+        if now - record.ejected_until > options.forget_after_s:
+            record.ejections = 0
+        self._restricted.add(endpoint)
+        record.ejections += 1
+        length_s = options.first_ejection_s * 2.0 ** (record.ejections - 1)
+        until = now + min(length_s, options.longest_ejection_s)
+        record.state = Ejected(until)
+        record.ejected_until = until
+
+    def _finish_probe(
+        self, endpoint: str, record: _Record, ok: bool, now: float
     ) -> None:
         if ok:
-            self._admit(endpoint, row, now)
+            self._readmit(endpoint, record, now)
         else:
-            self._eject(endpoint, row, now)
-
-    def _admit(self, endpoint: str, row: _Row, now: float) -> None:
-        self._held.discard(endpoint)
-        row.state = Healthy()
-        row.admitted_at = now
-        row.seen.forgive()
-        row.forgiven = row.told_failures
+            self._eject(endpoint, record, now)
+
+    def _readmit(self, endpoint: str, record: _Record, now: float) -> None:
+        self._restricted.discard(endpoint)
+        record.state = Healthy()
+        record.ejected_until = now
+        record.local.reset()
+        record.ignored_failures = record.reported_failures
--- a/src/ferryledge/health/_rate.py
+++ b/src/ferryledge/health/_rate.py
@@ -1,38 +1,41 @@
-"""How often tasks fail, by the last ends that were seen."""
+"""Failure rates of endpoints, averaged over the latest task ends."""
 
 import msgspec
 
-#: Weight of the newest end, from 0 to 1.
+#: Weight of the latest end in the average, from 0 to 1.
 DECAY = 0.2
-#: Failure rate from which a place is taken for failing.
+#: Failure rate from which an endpoint counts as failing.
 EJECT_AT = 0.45
 
 
 class FailureRate(msgspec.Struct):
-    """A decaying average of ends, to which one job adds one failure."""
+    """An exponentially weighted failure rate.
 
-    #: Share of failures from 0 to 1; the newest ends weigh most.
+    Consecutive failures of the same job count once.
+    """
+
+    #: Weighted share of failures, from 0 to 1.
     rate: float = 0.0
-    #: Failures that counted.
+    #: Number of failures counted; :meth:`reset` keeps it.
     failures: int = 0
     _last_job: str = ""
 
-    def add(self, job: str, blame: float, ok: bool, decay: float) -> None:
-        """Take in an end.
+    def add(self, job: str, weight: float, ok: bool, decay: float) -> None:
+        """Record the end of a task.
 
-        :param job: the task's
-        :param blame: share of a failure that speaks against the place
-        :param ok: whether it succeeded
-        :param decay: weight of this end, from 0 to 1
+        :param job: the task's job
+        :param weight: weight of a failure, from 0 to 1
+        :param ok: whether the task succeeded
+        :param decay: weight of this end in the average, from 0 to 1
         """
         if not ok:
             if self._last_job == job:
                 return
             self._last_job = job
             self.failures += 1
-        self.rate += decay * ((0.0 if ok else blame) - self.rate)
+        self.rate += decay * ((0.0 if ok else weight) - self.rate)
 
-    def forgive(self) -> None:
-        """Begin anew; what was counted stays counted."""
+    def reset(self) -> None:
+        """Reset the rate but keep the count of failures."""
         self.rate = 0.0
         self._last_job = ""
