--- a/src/ferryledge/ledger/__init__.py
+++ b/src/ferryledge/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""What an agent remembers: which tasks started, which tickets were used."""
+"""An agent's records of started tasks and of used tickets."""
 
 from ferryledge.ledger import _seen
 from ferryledge.ledger import _starts
--- a/src/ferryledge/ledger/_seen.py
+++ b/src/ferryledge/ledger/_seen.py
@@ -1,16 +1,16 @@
-"""Remembers which numbers of a rising sequence were seen."""
+"""Detection of repeated numbers in a rising sequence."""
 
-#: Numbers that may come late, behind the highest one.
+#: Most numbers kept beyond the first gap in the sequence.
 _WINDOW = 4096
 
 
 class SeenNumbers:
-    """Tells new numbers from repeats, within bounded memory.
+    """Detects repeated numbers within bounded memory.
 
-    Numbers come nearly in order; one that is far behind the highest counts
-    as seen.
+    Numbers are expected to arrive nearly in order. If more than a window
+    of numbers arrive beyond a gap, the missing ones count as seen.
 
-    :param window: how far behind a number may come
+    :param window: most numbers kept beyond a gap
     """
 
     def __init__(self, window: int = _WINDOW) -> None:
@@ -19,9 +19,9 @@
         self._above: set[int] = set()
 
     def add(self, number: int) -> bool:
-        """Note a number.
+        """Record a number.
 
-        :return: whether it was not seen before
+        :return: whether the number is new
         """
         if number <= self._floor or number in self._above:
             return False
--- a/src/ferryledge/ledger/_starts.py
+++ b/src/ferryledge/ledger/_starts.py
@@ -1,6 +1,6 @@
-"""The start ledger: decides whether a task may start, at most once.
+"""The start ledger: admits each bound task to start at most once.
 
-Every scheduler numbers the tasks that it binds with one rising sequence.
+Every scheduler numbers the tasks that it binds in one rising sequence.
 The ledger admits a number only if it is above all numbers that it has
 admitted or released for that scheduler, so a repeated, late or reordered
 request never starts a task again, even after its record was dropped.
@@ -9,24 +9,24 @@
 import dataclasses
 import enum
 
-#: Separates the front's incarnation from its counter in submissions.
+#: Separates the front's incarnation from its counter in a submission.
 SUBMISSION_SEPARATOR = "."
 
 
 class Admission(enum.Enum):
     """The ledger's answer to a request to start a task."""
 
-    #: Never seen: start it now.
+    #: The task is new and starts now.
     FRESH = "fresh"
-    #: Seen and recorded: report its state, do not start it.
+    #: The task has a record: report its state, don't start it again.
     REPEAT = "repeat"
-    #: Released, fenced or too old: it never starts from this request.
+    #: The task was fenced, or its number is not new and it has no record.
     REFUSED = "refused"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskKey:
-    """Names one bound task."""
+    """Identifies a bound task."""
 
     #: Incarnation of the scheduler that bound it.
     owner: str
@@ -41,7 +41,7 @@
     ok: bool
     #: The result, or the reason of the failure.
     body: bytes
-    #: Seconds that it ran.
+    #: Run time in seconds.
     run_s: float
     #: When it ended, in the caller's monotonic seconds.
     at: float
@@ -49,31 +49,33 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskRecord:
-    """One started task."""
+    """The record of a started task."""
 
     key: TaskKey
     submission: str
+    #: The task's position in the job.
     index: int
     #: Set once the task has ended.
     finish: Finish | None = None
 
 
 def front_of(submission: str) -> str:
-    """Return the incarnation of the front that named the submission."""
+    """Return the incarnation of the front that made the submission."""
     return submission.partition(SUBMISSION_SEPARATOR)[0]
 
 
 def number_of(submission: str) -> int:
-    """Return the front's number for the submission; -1 if it has none."""
+    """Return the submission's number at its front, or -1 if it has none."""
     number = submission.partition(SUBMISSION_SEPARATOR)[2]
     return int(number) if number.isascii() and number.isdigit() else -1
 
 
 class StartLedger:
-    """Records the starts on one endpoint.
+    """Records the tasks that started on one endpoint.
 
-    :param retention_s: seconds for which a finished task's result is kept
-    :param max_finished: most finished results kept
+    :param retention_s: seconds for which the result of a finished task is
+        kept
+    :param max_finished: most results of finished tasks that are kept
     """
 
     def __init__(
@@ -81,14 +83,14 @@
     ) -> None:
         self._retention_s = retention_s
         self._max_finished = max_finished
-        self._high: dict[str, int] = {}
-        self._fenced: dict[tuple[str, str], int] = {}
+        self._highest_seq: dict[str, int] = {}
+        self._fenced_through: dict[tuple[str, str], int] = {}
         self._running: dict[TaskKey, TaskRecord] = {}
         self._finished: dict[TaskKey, TaskRecord] = {}
 
     @property
     def running(self) -> int:
-        """The number of tasks that run now."""
+        """The number of running tasks."""
         return len(self._running)
 
     def admit(self, key: TaskKey, submission: str, index: int) -> Admission:
@@ -96,8 +98,8 @@
 
         :param key: the scheduler and its number for the task
         :param submission: the job's submission
-        :param index: the task's place in the job
-        :return: :attr:`Admission.FRESH` once at most for each key
+        :param index: the task's position in the job
+        :return: the decision; :attr:`Admission.FRESH` at most once per key
         """
         if key in self._running or key in self._finished:
             return Admission.REPEAT
@@ -109,25 +111,25 @@
         return Admission.FRESH
 
     def release(self, key: TaskKey) -> bool:
-        """Make sure that a task which has not started never will.
+        """Prevent a task that has not started from ever starting.
 
         :param key: the scheduler and its number for the task
-        :return: true if the number is new: it has not started; false if
-            it may have started, see :meth:`find`
+        :return: true if the task has not started; false if it may have, see
+            :meth:`find`
         """
-        if key.seq <= self._high.get(key.owner, -1):
+        if key.seq <= self._highest_seq.get(key.owner, -1):
             return False
-        self._high[key.owner] = key.seq
+        self._highest_seq[key.owner] = key.seq
         return True
 
     def find(self, key: TaskKey) -> TaskRecord | None:
-        """Return the record of a task that started, if it is kept."""
+        """Return the record of a started task, or none if it has none."""
         return self._running.get(key) or self._finished.get(key)
 
     def finish(self, key: TaskKey, finish: Finish) -> TaskRecord | None:
         """Record the end of a running task.
 
-        :return: its record, or none if it was not running
+        :return: the task's record, or none if the task was not running
         """
         record = self._running.pop(key, None)
         if record is None:
@@ -137,24 +139,24 @@
         return record
 
     def take_back(self, key: TaskKey) -> TaskRecord | None:
-        """Undo a start that provably never reached the endpoint.
+        """Undo a start that provably did not reach the endpoint.
 
-        The number stays used, so the task never starts from it.
+        The sequence number stays used, so a repeated request is refused.
 
-        :return: its record, or none if it was not running
+        :return: the task's record, or none if the task was not running
         """
         return self._running.pop(key, None)
 
     def fence(self, owner: str, front: str, through: int) -> list[TaskRecord]:
-        """Refuse the owner's tasks for a front's earlier submissions.
+        """Refuse further starts by an owner for a front's earlier jobs.
 
-        :param owner: incarnation of the scheduler that is given up
-        :param front: incarnation of the front that takes its jobs back
-        :param through: number of the front's last submission so far
-        :return: the tasks of that front which the owner started here
+        :param owner: incarnation of the lost scheduler
+        :param front: incarnation of the front that recovers its jobs
+        :param through: number of the last submission that is fenced
+        :return: records of the front's tasks that the owner has started
         """
-        known = self._fenced.get((owner, front), -1)
-        self._fenced[owner, front] = max(known, through)
+        known = self._fenced_through.get((owner, front), -1)
+        self._fenced_through[owner, front] = max(known, through)
         return [
             record
             for table in (self._running, self._finished)
@@ -163,17 +165,17 @@
         ]
 
     def is_fenced(self, owner: str, submission: str) -> bool:
-        """Return whether the owner may no longer start this job's tasks."""
-        through = self._fenced.get((owner, front_of(submission)), -1)
+        """Return whether an owner's starts for a submission are fenced."""
+        through = self._fenced_through.get((owner, front_of(submission)), -1)
         return number_of(submission) <= through
 
     def expire(self, now: float) -> None:
-        """Drop results that are past their retention, oldest first."""
+        """Drop results past the retention or above the limit, oldest first."""
         while self._finished:
             key, record = next(iter(self._finished.items()))
             finish = record.finish
             assert finish is not None
-            fresh = now - finish.at < self._retention_s
-            if fresh and len(self._finished) <= self._max_finished:
+            is_retained = now - finish.at < self._retention_s
+            if is_retained and len(self._finished) <= self._max_finished:
                 return
             del self._finished[key]
--- a/src/ferryledge/ledger/_tickets.py
+++ b/src/ferryledge/ledger/_tickets.py
@@ -1,9 +1,9 @@
-"""Tickets: at most one run of a request, over many submissions.
+"""Tickets: let a request run at most once over several submissions.
 
-The minting process alone decides whether a ticket is still good, by its own
-monotonic clock and its own memory, so no clocks are compared and nothing
-is replicated. A restart loses the memory together with the incarnation
-that tickets name, so a ticket of an earlier incarnation is never granted.
+Only the process that minted a ticket decides on its validity, by its own
+monotonic clock and its records in memory, so neither synchronized clocks
+nor replication are needed. A restart loses the records but also changes
+the incarnation, so tickets of an earlier incarnation are never granted.
 """
 
 import collections
@@ -18,31 +18,33 @@
 
 
 class TicketWord(enum.Enum):
-    """The ledger's word on a ticket."""
+    """The status of a ticket for a submission."""
 
-    #: First use: the submission may run.
+    #: The submission may run.
     GRANTED = "granted"
-    #: Another submission runs under it.
+    #: Another submission is running under the ticket.
     IN_PROGRESS = "in_progress"
-    #: An earlier submission ended; its outcome is kept.
+    #: An earlier submission has ended and its outcome is kept.
     SETTLED = "settled"
-    #: Minted by another incarnation, expired or never minted.
+    #: Expired, never minted, or minted by another incarnation.
     LOST = "lost"
-    #: Used before for a different request.
+    #: The ticket was used for a different request.
     MISMATCH = "mismatch"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketVerdict(typing.Generic[OutcomeT]):
-    """The ledger's answer to a request for authorisation."""
+    """The answer to a request for authorisation."""
 
     word: TicketWord
-    #: The first submission's outcome, if settled.
+    #: Outcome of the submission that ran, if the ticket is settled.
     outcome: OutcomeT | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class _Use(typing.Generic[OutcomeT]):
+    """The submission that a ticket authorised, and its outcome."""
+
     submission: str
     digest: str
     owner: str
@@ -51,19 +53,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Block:
+    """Serial numbers of the tickets that one call minted."""
+
     first: int
     last: int
     minted_at: float
 
 
 def minter_of(ticket: str) -> str:
-    """Return the name of the process that minted a ticket, or ``""``."""
+    """Return the name of the minting process, or ``""`` if malformed."""
     fields = ticket.split(_SEPARATOR)
     return fields[0] if len(fields) == _FIELDS else ""
 
 
 class TicketLedger(typing.Generic[OutcomeT]):
-    """Mints tickets and authorises each one once.
+    """Mints tickets and authorises one submission for each.
 
     :param name: the minting process's name
     :param incarnation: the minting process's incarnation
@@ -75,27 +79,28 @@
     ) -> None:
         self._prefix = f"{name}{_SEPARATOR}{incarnation}{_SEPARATOR}"
         self._life_s = life_s
-        self._next = 0
-        self._oldest = 0
+        self._next_serial = 0
+        self._oldest_serial = 0
         self._blocks: collections.deque[_Block] = collections.deque()
         self._uses: dict[int, _Use[OutcomeT]] = {}
 
     @property
     def in_progress(self) -> int:
-        """Tickets whose submissions have not ended."""
+        """Number of tickets whose submission has not ended."""
         return sum(use.outcome is None for use in self._uses.values())
 
     def mint(self, count: int, now: float) -> tuple[str, ...]:
-        """Return that many fresh tickets.
+        """Return new tickets.
 
-        :param count: how many
+        :param count: number of tickets
         :param now: monotonic seconds
         """
-        first = self._next
-        self._next += count
-        self._blocks.append(_Block(first, self._next - 1, now))
+        first = self._next_serial
+        self._next_serial += count
+        self._blocks.append(_Block(first, self._next_serial - 1, now))
         return tuple(
-            f"{self._prefix}{serial}" for serial in range(first, self._next)
+            f"{self._prefix}{serial}"
+            for serial in range(first, self._next_serial)
         )
 
     def authorise(
@@ -103,10 +108,10 @@
     ) -> TicketVerdict[OutcomeT]:
         """Decide whether a submission may run under a ticket.
 
-        :param ticket: as minted
-        :param submission: the submission that asks
-        :param digest: names the request's content
-        :param owner: incarnation of the scheduler that asks
+        :param ticket: the ticket as minted
+        :param submission: the submission to authorise
+        :param digest: digest of the request's content
+        :param owner: incarnation of the requesting scheduler
         """
         serial = self._serial(ticket)
         if serial is None:
@@ -124,11 +129,11 @@
         return TicketVerdict(TicketWord.IN_PROGRESS)
 
     def settle(self, ticket: str, submission: str, outcome: OutcomeT) -> bool:
-        """Keep the outcome of the submission that was authorised.
+        """Record the outcome of the authorised submission.
 
-        The first outcome stays.
+        Later outcomes don't replace the first.
 
-        :return: whether this outcome was taken
+        :return: whether this outcome was recorded
         """
         serial = self._serial(ticket)
         use = None if serial is None else self._uses.get(serial)
@@ -140,7 +145,7 @@
         return True
 
     def revoke(self, ticket: str, submission: str) -> None:
-        """Give back an authorisation under which nothing has run."""
+        """Revoke an authorisation under which nothing has run."""
         serial = self._serial(ticket)
         if serial is None:
             return
@@ -149,29 +154,33 @@
             del self._uses[serial]
 
     def settle_owner(self, owner: str, outcome: OutcomeT) -> None:
-        """Settle all that a lost scheduler left in progress."""
+        """Settle the tickets that a lost scheduler left in progress."""
         for use in self._uses.values():
             if use.owner == owner and use.outcome is None:
                 use.outcome = outcome
 
     def expire(self, now: float) -> None:
-        """Drop tickets past their life, used or not."""
+        """Drop tickets past their lifetime, used or not."""
         while self._blocks:
             block = self._blocks[0]
             if now - block.minted_at < self._life_s:
                 return
             self._blocks.popleft()
-            self._oldest = block.last + 1
+            self._oldest_serial = block.last + 1
             for serial in range(block.first, block.last + 1):
                 self._uses.pop(serial, None)
 
     def _serial(self, ticket: str) -> int | None:
         if not ticket.startswith(self._prefix):
             return None
-        text = ticket[len(self._prefix) :]
-        if not (text.isascii() and text.isdigit()):
+        digits = ticket[len(self._prefix) :]
+        if not (digits.isascii() and digits.isdigit()):
             return None
-        if len(text) > len(str(self._next)):
+        if len(digits) > len(str(self._next_serial)):
             return None
-        serial = int(text)
-        return serial if self._oldest <= serial < self._next else None
+        serial = int(digits)
+        return (
+            serial
+            if self._oldest_serial <= serial < self._next_serial
+            else None
+        )
