--- a/src/ferryledge/limits/__init__.py
+++ b/src/ferryledge/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits: quota shares, admission by expected wait, retry budgets."""
+"""Quotas, admission control, fair shares and retry budgets."""
 
 from ferryledge.limits import _admission
 from ferryledge.limits import _fairness
--- a/src/ferryledge/limits/_admission.py
+++ b/src/ferryledge/limits/_admission.py
@@ -1,4 +1,4 @@
-"""Admission: refuse at once what would be answered too late."""
+"""Admission control: early refusal of jobs that would miss deadlines."""
 
 import dataclasses
 
@@ -7,30 +7,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What a job would meet if it were admitted."""
+    """The load that a job would find on admission."""
 
-    #: Slots that can be used.
+    #: Usable slots.
     slots: int
-    #: Tasks that wait.
+    #: Waiting tasks.
     waiting_tasks: int
-    #: Expected run time in seconds of the tasks that go before it.
+    #: Expected run time of the tasks ahead of the job, in seconds.
     work_before_s: float
-    #: Expected time of the job itself on free endpoints, in seconds.
+    #: Expected time of the job on idle endpoints, in seconds.
     ideal_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admit:
-    """The job may wait; its expected wait in seconds."""
+    """The job is admitted to the queue."""
 
+    #: Expected wait in seconds.
     wait_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """The job is refused; when coming back makes sense, in seconds."""
+    """The job is refused."""
 
     reason: outcomes.Reason
+    #: Seconds after which a retry may be admitted.
     retry_after_s: float
 
 
@@ -43,14 +45,14 @@
 ) -> Admit | Refuse:
     """Decide whether a job is admitted.
 
-    The bound on waiting tasks always holds; the deadline counts only with
-    guards on.
+    The limit on waiting tasks always applies, the deadline only if
+    ``guards`` is set.
 
-    :param load: what the job would meet
-    :param tasks: its number of tasks
-    :param deadline_s: seconds until it is of no use; 0 is never
+    :param load: the load that the job would find
+    :param tasks: the job's number of tasks
+    :param deadline_s: seconds until the job's deadline; 0 is no deadline
     :param max_waiting_tasks: most tasks that may wait
-    :param guards: whether to refuse by expected wait
+    :param guards: whether to refuse jobs that would miss their deadline
     """
     wait_s = load.work_before_s / max(1, load.slots)
     if load.waiting_tasks + tasks > max_waiting_tasks:
--- a/src/ferryledge/limits/_fairness.py
+++ b/src/ferryledge/limits/_fairness.py
@@ -1,21 +1,23 @@
-"""Fairness between workspaces while slots are short.
+"""Fair sharing of slots between workspaces.
 
-A workspace that uses more than its share of the slots has its new jobs weighed
-less, in proportion. Nothing is held back while slots are free.
+A workspace that uses more than its fair share of the slots has its waiting
+jobs deferred in proportion. While slots are free, no job is held back.
 """
 
 
 def handicap(
     used: int, weight: float, total_weight: float, slots: int
 ) -> float:
-    """Return by how much a workspace's jobs are weighed less; 1 is not at all.
+    """Return the factor by which a workspace exceeds its fair share.
 
-    :param used: slots that the workspace uses now
+    The factor is 1 at or below the share.
+
+    :param used: slots that the workspace uses
     :param weight: the workspace's weight
-    :param total_weight: the weights of all workspaces that use slots
+    :param total_weight: sum of the weights of all workspaces with used slots
     :param slots: slots of the pool
     """
-    fair = slots * weight / total_weight if total_weight else slots
-    if fair <= 0:
+    fair_share = slots * weight / total_weight if total_weight else slots
+    if fair_share <= 0:
         return 1.0
-    return max(1.0, used / fair)
+    return max(1.0, used / fair_share)
--- a/src/ferryledge/limits/_quota.py
+++ b/src/ferryledge/limits/_quota.py
@@ -1,16 +1,16 @@
-"""Workspaces' quotas, shared between pools without a central count.
+"""Workspaces' quotas, divided between pools without a central count.
 
-Each pool enforces the part of a workspace's quota that its share of the
-region's slots gives it, so the sum over pools never exceeds the quota by
-more than the rounding: one slot a pool. While two schedulers believe to
-hold the same pool, the overshoot is at most the pool's part once more.
+Each pool enforces a part of a workspace's quota in proportion to its share
+of the region's slots. The parts are rounded up, so their sum exceeds the
+quota by at most one slot per pool. While two schedulers both own a pool,
+its part may be used twice.
 """
 
 import math
 
 
 class QuotaShares:
-    """Counts the slots that workspaces use in one pool."""
+    """Tracks the slots that workspaces use in one pool."""
 
     def __init__(self) -> None:
         self._used: dict[str, int] = {}
@@ -18,7 +18,7 @@
         self._share = 1.0
 
     def set_quotas(self, quotas: dict[str, int]) -> None:
-        """Replace the workspaces' quotas; 0 is no limit."""
+        """Replace all quotas, in slots by workspace; 0 is no limit."""
         self._quotas = dict(quotas)
 
     def set_share(self, share: float) -> None:
@@ -26,7 +26,7 @@
         self._share = share
 
     def limit(self, workspace: str) -> float:
-        """Return the slots that a workspace may use in this pool."""
+        """Return the most slots that a workspace may use in this pool."""
         quota = self._quotas.get(workspace, 0)
         if not quota:
             return math.inf
@@ -37,21 +37,21 @@
         return self._used.get(workspace, 0)
 
     def active(self) -> frozenset[str]:
-        """Return the workspaces that use slots."""
+        """Return the workspaces that use slots in this pool."""
         return frozenset(self._used)
 
     def room(self, workspace: str) -> float:
-        """Return the slots that a workspace may still take."""
+        """Return the slots that are left of a workspace's limit."""
         return max(0.0, self.limit(workspace) - self.used(workspace))
 
     def take(self, workspace: str, slots: int) -> None:
-        """Count slots as used."""
+        """Record slots as used."""
         self._used[workspace] = self.used(workspace) + slots
 
     def give_back(self, workspace: str, slots: int) -> None:
-        """Count slots as free again."""
-        left = self.used(workspace) - slots
-        if left > 0:
-            self._used[workspace] = left
+        """Record used slots as free."""
+        remaining = self.used(workspace) - slots
+        if remaining > 0:
+            self._used[workspace] = remaining
         else:
             self._used.pop(workspace, None)
--- a/src/ferryledge/limits/_retry.py
+++ b/src/ferryledge/limits/_retry.py
@@ -1,45 +1,51 @@
-"""Retry budgets and delays that spread those who come back."""
+"""Retry budgets and jittered retry delays."""
 
 import random
 
 
 class RetryBudget:
-    """Allows retries as a share of first attempts.
+    """Limits retries to a share of first attempts.
 
-    Without such a bound an outage is made worse by the retries that it
-    causes.
+    The limit keeps retries from amplifying an outage.
 
     :param ratio: retries earned by each first attempt
-    :param most: most retries saved up
+    :param most: most unused retries that are kept
     """
 
     def __init__(self, ratio: float = 0.1, most: float = 10.0) -> None:
         self._ratio = ratio
-        self._most = most
-        self._saved = most
+        self._max_available = most
+        self._available = most
 
     @property
-    def saved(self) -> float:
-        """Retries that may be made now."""
-        return self._saved
+    def available(self) -> float:
+        """Retries that are available."""
+        return self._available
 
     def attempt(self) -> None:
-        """Note a first attempt."""
-        self._saved = min(self._most, self._saved + self._ratio)
+        """Record a first attempt."""
+        self._available = min(
+            self._max_available, self._available + self._ratio
+        )
 
     def take(self) -> bool:
-        """Return whether a retry may be made, and count it."""
-        if self._saved < 1.0:
+        """Use a retry of the budget.
+
+        :return: whether a retry was available
+        """
+        if self._available < 1.0:
             return False
-        self._saved -= 1.0
+        self._available -= 1.0
         return True
 
 
 def spread_delay(base_s: float, most_s: float, rng: random.Random) -> float:
-    """Return a delay between one and two times the base, in seconds.
+    """Return a jittered delay in seconds.
+
+    The delay lies between one and two times the base, up to the longest.
 
-    :param base_s: the least delay that makes sense
-    :param most_s: the longest delay
-    :param rng: source of the spread
+    :param base_s: shortest delay in seconds
+    :param most_s: longest delay in seconds
+    :param rng: source of the jitter
     """
     return min(most_s, base_s * (1.0 + rng.random()))
--- a/src/ferryledge/outcomes/__init__.py
+++ b/src/ferryledge/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""Tagged outcomes: what a caller may believe about its work."""
+"""Tagged outcomes of jobs and tasks."""
 
 from ferryledge.outcomes import _outcomes
 
--- a/src/ferryledge/outcomes/_outcomes.py
+++ b/src/ferryledge/outcomes/_outcomes.py
@@ -1,7 +1,7 @@
-"""The outcomes of jobs and tasks, as data classes to ``match`` on.
+"""The outcomes of jobs and tasks, as structs to ``match`` on.
 
-"Not run" is claimed only with proof: the work was never sent, or the agent
-that held it said that it never started and never will.
+An outcome states "not run" only if the work was never sent, or if its agent
+confirmed that it didn't start and never will.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class Step(enum.StrEnum):
-    """The step of a request at which an outcome arose."""
+    """The processing step at which an outcome arose."""
 
     SUBMIT = "submit"
     ADMIT = "admit"
@@ -23,10 +23,10 @@
     CANCEL = "cancel"
     AUTHORISE = "authorise"
     DRAIN = "drain"
-    #: A run's endpoint became slow, or its lease was given up.
+    #: Moving a run whose endpoint is slow or whose lease was given up.
     MOVE = "move"
     LEASE = "lease"
-    #: What a process believes of its peers and endpoints.
+    #: Detection of failed or slow peers and endpoints.
     HEALTH = "health"
 
 
@@ -52,48 +52,48 @@
     TICKET_USED = "ticket_used"
     TIMEOUT = "timeout"
     UNKNOWN_SERVICE = "unknown_service"
-    #: Its value is what clients and earlier versions know it by.
+    #: The value is the earlier name, which clients still match.
     UNKNOWN_WORKSPACE = "unknown_team"
 
 
 class Origin(msgspec.Struct, frozen=True):
-    """Where an outcome arose."""
+    """The origin of an outcome."""
 
-    #: The step at which it arose.
+    #: The step at which the outcome arose.
     step: Step
-    #: The process that caused it: its name, or empty for this process.
+    #: Name of the process that caused it; empty for this process.
     peer: str = ""
 
 
 class Complete(msgspec.Struct, frozen=True):
-    """Every task ran once and its result is here."""
+    """Every task ran once."""
 
     #: The tasks' results as JSON text, in the order of the tasks.
     results: tuple[bytes, ...]
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """Nothing ran; the request may be sent again after the delay."""
+    """The request was refused before any of it ran."""
 
     reason: Reason
     origin: Origin
-    #: Seconds after which to come back; 0 if coming back is useless.
+    #: Seconds after which to retry; 0 if a retry is pointless.
     retry_after_s: float
     detail: str = ""
 
 
 class FailedNotRun(msgspec.Struct, frozen=True):
-    """The request was accepted, then failed; none of it started."""
+    """The request was accepted but failed before any of it started."""
 
     reason: Reason
     origin: Origin
-    #: Seconds after which to come back; 0 if coming back is useless.
+    #: Seconds after which to retry; 0 if a retry is pointless.
     retry_after_s: float = 0.0
     detail: str = ""
 
 
 class FailedMayHaveRun(msgspec.Struct, frozen=True):
-    """The request failed and some of it ran, or may have run."""
+    """The request failed; some of it ran or may have run."""
 
     reason: Reason
     origin: Origin
@@ -103,13 +103,14 @@
 class InProgress(msgspec.Struct, frozen=True):
     """An earlier submission under the same ticket is still running."""
 
+    #: Seconds after which to retry.
     retry_after_s: float
 
 
 class TicketRequired(msgspec.Struct, frozen=True):
-    """An unrepeatable request came without a ticket; nothing ran."""
+    """An unrepeatable request had no ticket, so nothing ran."""
 
-    #: The ticket to send the request again with.
+    #: The ticket to repeat the request with.
     ticket: str
 
 
@@ -134,5 +135,5 @@
 
 
 def tag_of(outcome: JobOutcome) -> str:
-    """Return the outcome's tag as it stands in answers and logs."""
+    """Return the outcome's tag, as used in answers and logs."""
     return _TAGS[type(outcome)]
