--- a/src/ferryledge/placement/__init__.py
+++ b/src/ferryledge/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Tables of endpoints and waiting jobs, and the choice between them."""
+"""The endpoint table, the job queue and the choice of endpoints."""
 
 import typing
 
@@ -24,7 +24,7 @@
     pool_of = _pools.pool_of
     rank = _pools.rank
 else:
-    # An agent needs the ranking of entries alone.
+    # Agents use the ranking of entries alone, so the rest is loaded on demand.
     __getattr__ = _lazy.attach(
         __name__,
         {
--- a/src/ferryledge/placement/_choice.py
+++ b/src/ferryledge/placement/_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint a job's waiting tasks go to."""
+"""The choice of an endpoint for a job's waiting tasks."""
 
 from collections import abc
 import dataclasses
@@ -6,33 +6,34 @@
 from ferryledge.placement import _runtimes
 from ferryledge.placement import _tables
 
-#: Slowness below which an endpoint counts as normal.
+#: Relative slowness up to which an endpoint counts as normal.
 NORMAL_SLOWNESS = 1.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wish:
-    """What a job asks of an endpoint."""
+    """A job's requirements and preferences for an endpoint."""
 
     #: Expected run time of one task at normal speed, in seconds.
     expected_s: float
-    #: Slowness of the usable endpoint in the middle: what counts as normal.
+    #: Median slowness of the usable endpoints.
     normal_slowness: float = 1.0
-    #: Seconds that a task would wait for a normal endpoint instead.
+    #: Expected wait for a slot on a normal endpoint, in seconds.
     wait_s: float = 0.0
-    #: Zones in which it may run; none is anywhere.
+    #: Zones in which the job may run; all if none.
     zones: frozenset[str] | None = None
+    #: Memory that one task needs, in MB.
     memory_mb: int = 0
-    #: The zone of the scheduler, preferred among equals.
-    home: str = ""
-    #: Endpoints to use first.
+    #: The scheduler's own zone, preferred among equal endpoints.
+    local_zone: str = ""
+    #: Names of the endpoints to prefer.
     favourites: frozenset[str] = frozenset()
-    #: Processes that may be used; none is all.
+    #: Process keys of the endpoints that may be used; all if none.
     processes: frozenset[str] | None = None
 
 
-def _worth_it(wish: Wish, slowness: float) -> bool:
-    """Return whether a slow slot now beats a normal slot later."""
+def _is_worthwhile(wish: Wish, slowness: float) -> bool:
+    """Return whether a free slot ends a task sooner than waiting would."""
     if slowness <= NORMAL_SLOWNESS:
         return True
     return wish.expected_s * slowness <= wish.wait_s + wish.expected_s
@@ -45,8 +46,13 @@
 ) -> _tables.EndpointRow | None:
     """Return the best endpoint with a free slot for a job, or none.
 
-    Normal endpoints go before slow ones, favourites before others, then
-    the one with the most free slots, so that a job's tasks share messages.
+    Normal endpoints rank before slow ones, preferred ones before others,
+    then those with more room, so that a job's tasks share messages. The
+    scheduler's own zone breaks ties.
+
+    :param rows: the endpoints to choose from
+    :param run_times: the endpoints' slowness
+    :param wish: the job's requirements
     """
     best = None
     best_score = (False, False, 0, False)
@@ -55,15 +61,15 @@
             continue
         if wish.processes is not None and row.process not in wish.processes:
             continue
-        room = row.fits(wish.memory_mb)
-        if not room:
+        capacity = row.fits(wish.memory_mb)
+        if not capacity:
             continue
         slowness = run_times.slowness(row.name) / wish.normal_slowness
-        if not _worth_it(wish, slowness):
+        if not _is_worthwhile(wish, slowness):
             continue
         normal = slowness <= NORMAL_SLOWNESS
-        favourite = row.name in wish.favourites
-        score = (normal, favourite, room, row.zone == wish.home)
+        preferred = row.name in wish.favourites
+        score = (normal, preferred, capacity, row.zone == wish.local_zone)
         if best is None or score > best_score:
             best, best_score = row, score
     return best
--- a/src/ferryledge/placement/_pools.py
+++ b/src/ferryledge/placement/_pools.py
@@ -1,8 +1,8 @@
-"""Which endpoints form a pool and which entry schedules it.
+"""Assignment of endpoints to pools and of pools to entries.
 
-Every process works it out alone, by rendezvous hashing over the names it
-knows. Two processes that know different names may disagree for a while;
-that costs messages, never a second start, since agents decide on starts.
+Every process computes the assignment by rendezvous hashing over the names
+that it knows. Processes that know different names may disagree for a time.
+This costs messages but starts no task twice, since agents admit starts.
 """
 
 from collections import abc
@@ -20,17 +20,21 @@
 
 
 def rank(key: str, names: abc.Iterable[str]) -> list[str]:
-    """Return the names in the key's order of preference."""
+    """Return the names by descending rendezvous score for a key."""
     return sorted(names, key=lambda name: _score(key, name), reverse=True)
 
 
 def pool_count(endpoints: int, pool_size: int) -> int:
-    """Return the number of pools for so many endpoints."""
+    """Return the number of pools for a number of endpoints."""
     return max(1, math.ceil(endpoints / pool_size))
 
 
 def pool_of(endpoint: str, pools: int) -> int:
-    """Return the index of the pool to which an endpoint belongs."""
+    """Return the index of an endpoint's pool.
+
+    :param endpoint: the endpoint's name
+    :param pools: the number of pools
+    """
     if pools == 1:
         return 0
     return int(rank(endpoint, map(str, range(pools)))[0])
--- a/src/ferryledge/placement/_runtimes.py
+++ b/src/ferryledge/placement/_runtimes.py
@@ -1,27 +1,27 @@
-"""Learned run times of services and speeds of endpoints.
+"""Estimates of services' run times and of endpoints' slowness.
 
-Run times vary by a factor rather than by an amount, so all averages are of
-logarithms, with exponential decay.
+Run times vary by factors, so the exponentially decaying averages are of
+their logarithms.
 """
 
 import math
 
 import msgspec
 
-#: Run time assumed of a service that never ran, in seconds.
+#: Expected run time of a service without samples, in seconds.
 DEFAULT_RUN_S = 0.3
-#: Spread assumed of a service that never ran: half to double.
+#: Spread of a service without samples: between half and double.
 DEFAULT_SPREAD = 0.7
-_SHORTEST_S = 1e-4
+_MIN_RUN_S = 1e-4
 _SERVICE_DECAY = 0.02
-_SPEED_DECAY = 0.06
-#: Weight of the assumption against the first measurements.
+_SLOWNESS_DECAY = 0.06
+#: Weight of the prior in samples.
 _PRIOR_SAMPLES = 4
-_ERROR_START = 1.0
+_INITIAL_ERROR = 1.0
 
 
 class _Average(msgspec.Struct):
-    """A decaying average of logarithms with a quick start."""
+    """An exponentially decaying average; the first samples weigh more."""
 
     decay: float
     value: float = 0.0
@@ -34,6 +34,8 @@
 
 
 class _Service(msgspec.Struct):
+    """Logarithms of a service's run times and of the errors of estimates."""
+
     log_mean: _Average
     declared_bias: _Average
     mean_error: _Average
@@ -44,26 +46,26 @@
     return _Service(
         _Average(_SERVICE_DECAY, math.log(DEFAULT_RUN_S)),
         _Average(_SERVICE_DECAY),
-        _Average(_SERVICE_DECAY, _ERROR_START),
-        _Average(_SERVICE_DECAY, _ERROR_START),
+        _Average(_SERVICE_DECAY, _INITIAL_ERROR),
+        _Average(_SERVICE_DECAY, _INITIAL_ERROR),
     )
 
 
 class RunTimes:
-    """Predicts how long tasks take and how fast endpoints are."""
+    """Learns and predicts run times of tasks and slowness of endpoints."""
 
     def __init__(self) -> None:
         self._services: dict[str, _Service] = {}
-        self._speeds: dict[str, _Average] = {}
+        self._endpoint_slowness: dict[str, _Average] = {}
 
     def expect(self, service: str, declared_s: float = 0.0) -> float:
         """Return the expected run time in seconds at normal speed.
 
-        The client's declaration is used, corrected by its usual error, as
-        far as it has told run times better than the service's average.
+        Combines the service's average with the declared run time, which is
+        corrected by its mean bias. Each is weighted by its past accuracy.
 
         :param service: the task's service
-        :param declared_s: what the client declared; 0 is nothing
+        :param declared_s: run time that the client declared; 0 if none
         """
         row = self._services.get(service)
         if row is None:
@@ -72,16 +74,23 @@
         if declared_s <= 0:
             return math.exp(learned)
         corrected = math.log(declared_s) + row.declared_bias.value
-        own = 1.0 / (row.mean_error.value + 1e-3)
-        told = 1.0 / (row.declared_error.value + 1e-3)
-        weight = told * told / (own * own + told * told)
+        learned_precision = 1.0 / (row.mean_error.value + 1e-3)
+        declared_precision = 1.0 / (row.declared_error.value + 1e-3)
+        weight = (
+            declared_precision
+            * declared_precision
+            / (
+                learned_precision * learned_precision
+                + declared_precision * declared_precision
+            )
+        )
         return math.exp(learned + weight * (corrected - learned))
 
     def spread(self, service: str) -> float:
-        """Return by how much expected run times are off.
+        """Return the error of expected run times.
 
-        The standard deviation of the logarithm of what tasks took against
-        what was expected.
+        The error is the standard deviation of the logarithm of actual over
+        expected run times.
 
         :param service: the task's service
         """
@@ -92,41 +101,43 @@
         return min(DEFAULT_SPREAD, math.sqrt(error))
 
     def slowness(self, endpoint: str) -> float:
-        """Return how many times as long tasks take there; 1 is normal."""
-        row = self._speeds.get(endpoint)
+        """Return an endpoint's run times relative to normal; 1 is normal."""
+        row = self._endpoint_slowness.get(endpoint)
         if row is None:
             return 1.0
-        certainty = row.samples / (row.samples + _PRIOR_SAMPLES)
-        return math.exp(row.value * certainty)
+        confidence = row.samples / (row.samples + _PRIOR_SAMPLES)
+        return math.exp(row.value * confidence)
 
     def learn(
         self, service: str, endpoint: str, run_s: float, declared_s: float
     ) -> None:
-        """Take in one finished task.
+        """Learn from a finished task.
 
         :param service: the task's service
-        :param endpoint: where it ran
-        :param run_s: seconds that it ran
-        :param declared_s: what the client declared; 0 is nothing
+        :param endpoint: the endpoint that ran the task
+        :param run_s: run time in seconds
+        :param declared_s: run time that the client declared; 0 if none
         """
         row = self._services.get(service)
         if row is None:
             row = self._services[service] = _new_service()
-        speed = self._speeds.get(endpoint)
-        if speed is None:
-            speed = self._speeds[endpoint] = _Average(_SPEED_DECAY)
-        taken = math.log(max(run_s, _SHORTEST_S))
+        average = self._endpoint_slowness.get(endpoint)
+        if average is None:
+            average = self._endpoint_slowness[endpoint] = _Average(
+                _SLOWNESS_DECAY
+            )
+        log_run_s = math.log(max(run_s, _MIN_RUN_S))
         if row.log_mean.samples >= _PRIOR_SAMPLES:
-            speed.add(taken - row.log_mean.value)
-        normal = taken - math.log(self.slowness(endpoint))
-        row.mean_error.add((normal - row.log_mean.value) ** 2)
-        row.log_mean.add(normal)
+            average.add(log_run_s - row.log_mean.value)
+        log_normal_s = log_run_s - math.log(self.slowness(endpoint))
+        row.mean_error.add((log_normal_s - row.log_mean.value) ** 2)
+        row.log_mean.add(log_normal_s)
         if declared_s > 0:
-            bias = normal - math.log(declared_s)
+            bias = log_normal_s - math.log(declared_s)
             error = bias - row.declared_bias.value
             row.declared_error.add(error * error)
             row.declared_bias.add(bias)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Drop what was learned of an endpoint that was replaced."""
-        self._speeds.pop(endpoint, None)
+        """Drop the slowness learned of an endpoint."""
+        self._endpoint_slowness.pop(endpoint, None)
--- a/src/ferryledge/placement/_tables.py
+++ b/src/ferryledge/placement/_tables.py
@@ -1,4 +1,4 @@
-"""The scheduler's table of endpoints and of the tasks bound to them."""
+"""The scheduler's table of endpoints and of tasks bound to them."""
 
 from collections import abc
 import dataclasses
@@ -6,25 +6,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Binding:
-    """One task bound to one endpoint, until its end is known."""
+    """A task that is bound to an endpoint until its end is known."""
 
+    #: The scheduler's sequence number of the task.
     seq: int
     submission: str
+    #: The task's position in the job.
     index: int
     endpoint: str
-    #: When it was sent, in monotonic seconds.
+    #: When the task was sent, in monotonic seconds.
     sent_at: float
     #: Expected run time in seconds at normal speed.
     expected_s: float
     declared_s: float = 0.0
     memory_mb: int = 0
-    #: Whether its end is reported at once.
+    #: Whether the task's end is reported at once.
     report_each: bool = True
 
 
 @dataclasses.dataclass(slots=True)
 class EndpointRow:
-    """What the scheduler knows of one endpoint."""
+    """The scheduler's record of an endpoint."""
 
     name: str
     incarnation: str
@@ -32,65 +34,68 @@
     slots: int
     connections: int
     memory_mb: int
-    #: Names this incarnation of the process; see the wire's process key.
+    #: Process key of the endpoint's agent, made of name and incarnation.
     process: str = ""
     connected: bool = True
     leaving: bool = False
-    #: Whether its zone takes no new work.
+    #: Whether the endpoint's zone is cordoned.
     cordoned: bool = False
-    #: Whether this scheduler may use it: it is of its pools, or its own.
+    #: Whether this scheduler may use the endpoint.
     mine: bool = True
-    #: Whether it has gone silent or overdue with work outstanding.
+    #: Whether the endpoint is silent or overdue with work outstanding.
     doubted: bool = False
-    #: Whether the health judge holds it back.
+    #: Whether health checks keep the endpoint out of use.
     ejected: bool = False
-    #: Not to be used before then: it said that it is full.
+    #: Until when no task is bound, after it was busy or unreachable.
     blocked_until: float = 0.0
-    #: Slots that other schedulers use, as last told, and until when that
-    #: is assumed.
-    foreign: int = 0
-    foreign_until: float = 0.0
-    #: When the stream broke.
+    #: Slots that other schedulers use, by the last report.
+    foreign_slots: int = 0
+    #: When that report expires.
+    foreign_slots_until: float = 0.0
+    #: When the stream to the endpoint's agent broke.
     lost_at: float = 0.0
-    #: When it last reported a task's end, or was last idle.
+    #: Time of the last reported end of a task, or of the last idle state.
     progress_at: float = 0.0
     memory_used: int = 0
     bound: dict[int, Binding] = dataclasses.field(default_factory=dict)
-    #: Slots that the table counts as usable.
-    counted: int = 0
+    #: Slots of this row in the table's sum of usable slots.
+    counted_slots: int = 0
 
     @property
     def free(self) -> int:
-        """Tasks that can be bound to it now."""
+        """Number of tasks that can be bound now."""
         if not self.usable:
             return 0
         limit = min(self.slots, self.connections)
-        return max(0, limit - len(self.bound) - self.foreign)
+        return max(0, limit - len(self.bound) - self.foreign_slots)
 
     @property
     def usable(self) -> bool:
-        """Whether new work may go there at all."""
+        """Whether the endpoint may take new work."""
         return (self.connected and self.mine) and not (
             self.leaving or self.doubted or self.ejected or self.cordoned
         )
 
     def fits(self, memory_mb: int) -> int:
-        """Return how many tasks of that memory can be bound now."""
+        """Return the number of tasks of a memory size that can be bound now.
+
+        :param memory_mb: memory of one task in MB; 0 is not counted
+        """
         if not memory_mb or not self.memory_mb:
             return self.free
-        room = (self.memory_mb - self.memory_used) // memory_mb
-        return max(0, min(self.free, room))
+        by_memory = (self.memory_mb - self.memory_used) // memory_mb
+        return max(0, min(self.free, by_memory))
 
 
 class EndpointTable:
-    """All endpoints of a pool; keeps those with free slots at hand."""
+    """The endpoints of a pool, with an index of those with free slots."""
 
     def __init__(self) -> None:
         self._rows: dict[str, EndpointRow] = {}
-        self._open: dict[str, EndpointRow] = {}
+        self._available: dict[str, EndpointRow] = {}
         self._bound = 0
         self._slots = 0
-        self._foreign = 0
+        self._foreign_slots = 0
         self._zones: frozenset[str] | None = None
         self._cordons: frozenset[str] = frozenset()
 
@@ -103,7 +108,7 @@
 
     @property
     def bound(self) -> int:
-        """Tasks that are bound to some endpoint."""
+        """Number of bound tasks."""
         return self._bound
 
     @property
@@ -111,11 +116,11 @@
         """Share of the usable slots in use, from 0 to 1."""
         if not self._slots:
             return 1.0
-        return min(1.0, (self._bound + self._foreign) / self._slots)
+        return min(1.0, (self._bound + self._foreign_slots) / self._slots)
 
     @property
     def slots(self) -> int:
-        """Slots of all usable endpoints."""
+        """Number of slots of all usable endpoints."""
         return self._slots
 
     def __iter__(self) -> abc.Iterator[EndpointRow]:
@@ -137,7 +142,7 @@
         self.refresh(row)
 
     def set_cordons(self, zones: frozenset[str]) -> None:
-        """Bind nothing new in these availability zones."""
+        """Replace the cordoned availability zones, which take no new tasks."""
         self._cordons = zones
         for row in self._rows.values():
             row.cordoned = row.zone in zones
@@ -146,59 +151,64 @@
     def drop(self, name: str) -> None:
         """Remove an endpoint."""
         row = self._rows.pop(name, None)
-        self._open.pop(name, None)
+        self._available.pop(name, None)
         self._zones = None
         if row is not None:
             self._bound -= len(row.bound)
-            self._slots -= row.counted
-            self._foreign -= row.foreign
+            self._slots -= row.counted_slots
+            self._foreign_slots -= row.foreign_slots
 
     def note_busy(self, row: EndpointRow, busy: int, until: float) -> None:
-        """Take in how many slots an endpoint says are in use.
+        """Record the number of used slots that an endpoint reports.
 
         :param row: the endpoint
-        :param busy: slots in use, for whichever scheduler
-        :param until: how long to assume others' use
+        :param busy: slots in use by all schedulers
+        :param until: when the report expires, in monotonic seconds
         """
-        foreign = max(0, busy - len(row.bound))
-        self._foreign += foreign - row.foreign
-        row.foreign = foreign
-        row.foreign_until = until
+        foreign_slots = max(0, busy - len(row.bound))
+        self._foreign_slots += foreign_slots - row.foreign_slots
+        row.foreign_slots = foreign_slots
+        row.foreign_slots_until = until
         self.refresh(row)
 
     def forget_foreign(self, now: float) -> None:
-        """Drop assumptions on others' use that are too old."""
+        """Drop expired reports of slots that other schedulers use."""
         for row in self._rows.values():
-            if row.foreign and row.foreign_until <= now:
-                self._foreign -= row.foreign
-                row.foreign = 0
+            if row.foreign_slots and row.foreign_slots_until <= now:
+                self._foreign_slots -= row.foreign_slots
+                row.foreign_slots = 0
                 self.refresh(row)
 
     def refresh(self, row: EndpointRow) -> None:
-        """Note that a row's fields changed."""
-        usable = min(row.slots, row.connections) if row.usable else 0
-        self._slots += usable - row.counted
-        row.counted = usable
+        """Update sums and index after a row's fields changed."""
+        usable_slots = min(row.slots, row.connections) if row.usable else 0
+        self._slots += usable_slots - row.counted_slots
+        row.counted_slots = usable_slots
         if row.free:
-            self._open[row.name] = row
+            self._available[row.name] = row
         else:
-            self._open.pop(row.name, None)
+            self._available.pop(row.name, None)
 
     def open_rows(self, now: float) -> list[EndpointRow]:
-        """Return the endpoints with free slots that may be used now."""
-        return [row for row in self._open.values() if row.blocked_until <= now]
+        """Return the endpoints with free slots that aren't paused."""
+        return [
+            row for row in self._available.values() if row.blocked_until <= now
+        ]
 
     def bind(self, binding: Binding) -> None:
-        """Record a task that goes to an endpoint."""
+        """Record a task as bound to its endpoint."""
         row = self._rows[binding.endpoint]
         row.bound[binding.seq] = binding
         row.memory_used += binding.memory_mb
         self._bound += 1
         if not row.free:
-            self._open.pop(row.name, None)
+            self._available.pop(row.name, None)
 
     def unbind(self, name: str, seq: int) -> Binding | None:
-        """Remove a task whose end, or release, is known."""
+        """Remove a task that ended or was released.
+
+        :return: its binding, or none if the task was not bound
+        """
         row = self._rows.get(name)
         if row is None:
             return None
@@ -208,5 +218,5 @@
         row.memory_used -= binding.memory_mb
         self._bound -= 1
         if row.free:
-            self._open[name] = row
+            self._available[name] = row
         return binding
--- a/src/ferryledge/placement/_waiting.py
+++ b/src/ferryledge/placement/_waiting.py
@@ -1,9 +1,9 @@
-"""The jobs whose tasks wait for a slot, in the order to start them.
+"""The queue of jobs with waiting tasks, in the order to place them.
 
-The order counts a job's remaining work, since a job answers only when its
-last task does. Among workspaces the one that uses least of its share is ahead.
-No job is passed over for ever: past the age bound every few picks go to
-the job that came first.
+Jobs with high urgency and little remaining work go first, since a job is
+answered only when its last task ends. A workspace above its fair share of
+slots is deferred. To prevent starvation, every few picks go to the oldest
+job once it has waited longer than the age bound.
 """
 
 import collections
@@ -12,46 +12,46 @@
 import heapq
 import itertools
 
-#: One of this many picks goes to a job past the age bound.
+#: One in this many picks goes to the oldest job past the age bound.
 AGED_PICK_EVERY = 4
-#: Unplaceable jobs that one pass may skip.
+#: Most jobs that one pass may skip because they can't be placed.
 MAX_SKIPPED = 64
 
 
 @dataclasses.dataclass(slots=True)
 class WaitingJob:
-    """A job with tasks that are not bound yet."""
+    """A job with tasks that aren't bound to an endpoint."""
 
     submission: str
     workspace: str
     #: Expected run time of one task in seconds.
     expected_s: float
-    #: Expected time of the whole job on free endpoints, in seconds.
+    #: Expected time of the whole job on idle endpoints, in seconds.
     ideal_s: float
     urgency: float
     arrived_at: float
-    #: Indices of the tasks that wait.
+    #: Indices of the waiting tasks.
     tasks: collections.deque[int]
     #: The workspace's slots in use that count against its quota.
     quota: int = 0
 
     @property
     def key(self) -> float:
-        """What orders the job; smaller goes first."""
+        """Sort key of the job; smaller keys go first."""
         work = len(self.tasks) * self.expected_s
         return work * self.ideal_s / self.urgency
 
 
-#: A workspace's jobs as key, number of the entry, and submission.
+#: A workspace's jobs as tuples of key, entry number and submission.
 _Heap = list[tuple[float, int, str]]
 
 
 class WaitingQueue:
-    """Waiting jobs of one pool.
+    """The waiting jobs of one pool.
 
-    :param age_bound_s: seconds after which a job counts as aged
-    :param handicap: by how much a workspace's jobs are put back now; 1 is not
-        at all
+    :param age_bound_s: seconds after which a waiting job takes precedence
+    :param handicap: returns the factor on the keys of a workspace's jobs;
+        1 defers none
     """
 
     def __init__(
@@ -63,18 +63,18 @@
         self._handicap = handicap
         self._jobs: dict[str, WaitingJob] = {}
         self._heaps: dict[str, _Heap] = {}
-        self._entries: dict[str, int] = {}
+        self._entry_numbers: dict[str, int] = {}
         self._counter = itertools.count()
         self._tasks = 0
         self._work_s = 0.0
-        self._picks = 0
+        self._pick_count = 0
 
     def __len__(self) -> int:
         return len(self._jobs)
 
     @property
     def tasks(self) -> int:
-        """Tasks that wait."""
+        """Number of waiting tasks."""
         return self._tasks
 
     @property
@@ -83,7 +83,7 @@
         return max(0.0, self._work_s)
 
     def work_before(self, key: float) -> float:
-        """Return the work in seconds that goes before a job's key."""
+        """Return the expected run time of tasks ahead of a key, in seconds."""
         if not self._jobs:
             return 0.0
         return sum(
@@ -93,23 +93,23 @@
         )
 
     def oldest_wait(self, now: float) -> float:
-        """Return the longest wait in seconds."""
+        """Return how long the oldest job has waited, in seconds."""
         if not self._jobs:
             return 0.0
         oldest = next(iter(self._jobs.values()))
         return now - oldest.arrived_at
 
     def add(self, job: WaitingJob) -> None:
-        """Add a job, or put a changed one in its new place."""
-        old = self._jobs.get(job.submission)
-        if old is None:
+        """Add a job, or update the position of a changed one."""
+        known = self._jobs.get(job.submission)
+        if known is None:
             self._jobs[job.submission] = job
             self._tasks += len(job.tasks)
             self._work_s += len(job.tasks) * job.expected_s
         self._push(job)
 
     def give_back(self, job: WaitingJob, index: int) -> None:
-        """Let a released task wait again, ahead of the job's others."""
+        """Put a released task back, ahead of the job's other tasks."""
         if job.submission not in self._jobs:
             job.tasks.appendleft(index)
             self.add(job)
@@ -120,38 +120,38 @@
         self._push(job)
 
     def take(self, job: WaitingJob, count: int) -> list[int]:
-        """Remove that many of a job's tasks and return their indices."""
-        taken = [job.tasks.popleft() for _ in range(count)]
+        """Remove a number of a job's tasks and return their indices."""
+        indices = [job.tasks.popleft() for _ in range(count)]
         self._tasks -= count
         self._work_s -= count * job.expected_s
         if not job.tasks:
-            self._forget(job.submission)
-        return taken
+            self._remove_entry(job.submission)
+        return indices
 
     def remove(self, submission: str) -> WaitingJob | None:
-        """Remove a job and return it."""
+        """Remove a job and return it, or none if it doesn't wait."""
         job = self._jobs.get(submission)
         if job is None:
             return None
         self._tasks -= len(job.tasks)
         self._work_s -= len(job.tasks) * job.expected_s
-        self._forget(submission)
+        self._remove_entry(submission)
         return job
 
     def picks(self, now: float) -> abc.Iterator[WaitingJob]:
         """Yield jobs in the order to place them.
 
-        A job that still waits after its turn is passed over for the rest
-        of this iteration.
+        A job that still has waiting tasks after it was yielded is skipped
+        for the rest of the iteration.
         """
         skipped: list[WaitingJob] = []
         try:
             while self._jobs and len(skipped) < MAX_SKIPPED:
-                job = self._aged(now) or self._pop()
+                job = self._oldest_if_due(now) or self._pop()
                 if job is None:
                     return
-                self._picks += 1
-                self._entries.pop(job.submission, None)
+                self._pick_count += 1
+                self._entry_numbers.pop(job.submission, None)
                 skipped.append(job)
                 yield job
                 if not job.tasks:
@@ -161,20 +161,20 @@
                 if job.submission in self._jobs:
                     self._push(job)
 
-    def _aged(self, now: float) -> WaitingJob | None:
-        if self._picks % AGED_PICK_EVERY:
+    def _oldest_if_due(self, now: float) -> WaitingJob | None:
+        if self._pick_count % AGED_PICK_EVERY:
             return None
         oldest = next(iter(self._jobs.values()))
-        waits = oldest.submission in self._entries
-        if waits and now - oldest.arrived_at > self._age_bound_s:
+        is_queued = oldest.submission in self._entry_numbers
+        if is_queued and now - oldest.arrived_at > self._age_bound_s:
             return oldest
         return None
 
     def _push(self, job: WaitingJob) -> None:
-        number = next(self._counter)
-        self._entries[job.submission] = number
+        entry_number = next(self._counter)
+        self._entry_numbers[job.submission] = entry_number
         heap = self._heaps.setdefault(job.workspace, [])
-        heapq.heappush(heap, (job.key, number, job.submission))
+        heapq.heappush(heap, (job.key, entry_number, job.submission))
 
     def _pop(self) -> WaitingJob | None:
         workspace = self._next_workspace()
@@ -184,7 +184,7 @@
         return self._jobs[submission]
 
     def _next_workspace(self) -> str | None:
-        """Return the workspace whose first job is ahead of the others'."""
+        """Return the workspace with the lowest deferred key."""
         for workspace in list(self._heaps):
             self._drop_stale(workspace)
         if len(self._heaps) <= 1:
@@ -197,13 +197,13 @@
         )
 
     def _drop_stale(self, workspace: str) -> None:
-        """Remove entries of jobs that are gone or stand elsewhere."""
+        """Remove outdated entries from the head of a workspace's heap."""
         heap = self._heaps[workspace]
-        while heap and self._entries.get(heap[0][2]) != heap[0][1]:
+        while heap and self._entry_numbers.get(heap[0][2]) != heap[0][1]:
             heapq.heappop(heap)
         if not heap:
             del self._heaps[workspace]
 
-    def _forget(self, submission: str) -> None:
+    def _remove_entry(self, submission: str) -> None:
         del self._jobs[submission]
-        self._entries.pop(submission, None)
+        self._entry_numbers.pop(submission, None)
