--- a/src/ferryledge/policy/__init__.py
+++ b/src/ferryledge/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Policies: short programs by operators that steer decisions."""
+"""Policies: operators' programs for urgency, zones and refusals."""
 
 from ferryledge.policy import _program
 from ferryledge.policy import _ruling
--- a/src/ferryledge/policy/_program.py
+++ b/src/ferryledge/policy/_program.py
@@ -1,7 +1,7 @@
-"""One bounded expression over the facts of a job.
+"""Policy programs: bounded expressions over the facts of a job.
 
-A program has no loops, no calls but a few fixed functions and no access to
-attributes, so its time is bounded by its size.
+Programs have no loops, no access to attributes and call only a few fixed
+functions, so their run time is bounded by their size.
 """
 
 import ast
@@ -11,51 +11,51 @@
 
 import simpleeval
 
-#: Longest program in characters.
+#: Most characters of a program.
 MAX_CHARACTERS = 500
-#: Most nodes in a program's syntax tree.
+#: Most nodes of a program's syntax tree.
 MAX_NODES = 120
-#: Longest text that a program may build, in characters.
+#: Most characters of a program's result.
 _MAX_TEXT = 200
 
 Value = bool | int | float | str
 
 
 class PolicyError(Exception):
-    """A program is not valid or gave no usable value."""
+    """A program is invalid, fails or returns an unsupported value."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Facts:
-    """What a program can see."""
+    """The facts of a job that a program can use."""
 
     workspace: str = ""
     service: str = ""
-    #: Tasks in the job.
+    #: Number of tasks of the job.
     tasks: int = 1
-    #: Learned run time of one task in seconds.
+    #: Learned run time of a task in seconds.
     expected_s: float = 0.0
-    #: Longest declared run time of a task in seconds; 0 is none.
+    #: Longest declared run time of a task in seconds; 0 if none.
     declared_s: float = 0.0
-    #: Seconds until the client needs the answer; 0 is no deadline.
+    #: Seconds until the job's deadline; 0 is no deadline.
     deadline_s: float = 0.0
-    #: The urgency that the client asked for.
+    #: The urgency that the client requested.
     urgency: float = 1.0
     repeatable: bool = True
-    #: Tasks that wait in the pool.
+    #: Number of waiting tasks in the pool.
     waiting: int = 0
     #: Share of the pool's slots in use, from 0 to 1.
     load: float = 0.0
-    #: The zone in question, in a ``where`` program.
+    #: The candidate zone, in ``where`` programs.
     zone: str = ""
-    #: The zone of the entry that took the job.
+    #: The zone of the entry that received the job.
     home: str = ""
 
 
 _FIELDS = frozenset(field.name for field in dataclasses.fields(Facts))
-#: Earlier names of facts, which programs may go on using.
-_EARLIER = {"team": "workspace", "hall": "zone"}
-_NAMES = _FIELDS | _EARLIER.keys()
+#: Former names of facts, which stay valid in programs.
+_FORMER_NAMES = {"team": "workspace", "hall": "zone"}
+_NAMES = _FIELDS | _FORMER_NAMES.keys()
 
 
 def _multiply(left: float, right: float) -> float:
@@ -110,11 +110,11 @@
 
 
 class Program:
-    """A checked program.
+    """A parsed and checked program.
 
     :param text: the expression
-    :raises PolicyError: if it is too large, not an expression, or uses
-        something that is not allowed; the message says what
+    :raises PolicyError: if the text is too large, not an expression, or
+        uses a construct that isn't allowed
     """
 
     def __init__(self, text: str) -> None:
@@ -127,12 +127,15 @@
         return self._text
 
     def run(self, facts: Facts) -> Value:
-        """Return the program's value.
+        """Evaluate the program.
 
-        :raises PolicyError: if it fails
+        :param facts: values of the names in the program
+        :raises PolicyError: if the evaluation fails, or its result is not
+            a finite number, a short text or a boolean
         """
         names = {
-            name: getattr(facts, _EARLIER.get(name, name)) for name in _NAMES
+            name: getattr(facts, _FORMER_NAMES.get(name, name))
+            for name in _NAMES
         }
         evaluator = simpleeval.EvalWithCompoundTypes(
             operators=_OPERATORS, functions=_FUNCTIONS, names=names
@@ -142,13 +145,13 @@
         except PolicyError:
             raise
         except Exception as exc:
-            # The library lets the operators' own errors through.
+            # simpleeval passes on errors that the operators raise.
             name = type(exc).__name__
             raise PolicyError(f"{self._text!r}: {name}: {exc}") from exc
-        return _plain(value)
+        return _check_value(value)
 
 
-def _plain(value: object) -> Value:
+def _check_value(value: object) -> Value:
     match value:
         case bool() | int():
             return value
@@ -156,7 +159,9 @@
             return value
         case str() if len(value) <= _MAX_TEXT:
             return value
-    raise PolicyError("the value is no number, text or truth value")
+    raise PolicyError(
+        "the value must be a finite number, a short text or a boolean"
+    )
 
 
 def _parse(text: str) -> ast.expr:
@@ -168,7 +173,7 @@
         raise PolicyError(f"not an expression: {exc}") from exc
     nodes = list(ast.walk(tree))
     if len(nodes) > MAX_NODES:
-        raise PolicyError(f"larger than {MAX_NODES} parts; make it shorter")
+        raise PolicyError(f"larger than {MAX_NODES} syntax nodes")
     for node in nodes:
         _check_node(node)
     return tree.body
@@ -196,8 +201,8 @@
 
 def _check_call(node: ast.Call) -> None:
     function = node.func
-    named = isinstance(function, ast.Name) and function.id in _FUNCTIONS
-    if not named or node.keywords:
+    is_known = isinstance(function, ast.Name) and function.id in _FUNCTIONS
+    if not is_known or node.keywords:
         known = ", ".join(sorted(_FUNCTIONS))
         raise PolicyError(f"only these may be called: {known}")
 
--- a/src/ferryledge/policy/_ruling.py
+++ b/src/ferryledge/policy/_ruling.py
@@ -1,8 +1,8 @@
-"""A policy's three programs, and what happens when one fails.
+"""Evaluation of a policy's three programs.
 
-A program that fails at run time counts as absent: the client's urgency
-stands, every zone is allowed, nothing is refused. The failure is part of
-the ruling, so that metrics, logs and explanations show it.
+A program that fails at run time is ignored: the job keeps the urgency that
+the client requested, may run in every zone and isn't refused. Failures are
+part of the result, for metrics, logs and explanations.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class PolicyTexts(typing.Protocol):
-    """The texts of a policy, as the configuration holds them."""
+    """The program texts of a policy, as in the configuration."""
 
     @property
     def name(self) -> str:
@@ -23,33 +23,33 @@
 
     @property
     def urgency(self) -> str:
-        """How urgent a job is."""
+        """The program for the urgency of a job."""
 
     @property
     def where(self) -> str:
-        """Whether a job may run in a zone."""
+        """The program that allows a job to run in a zone."""
 
     @property
     def refuse(self) -> str:
-        """Whether a job is refused."""
+        """The program that refuses a job."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ruling:
-    """What a policy says of one job."""
+    """The result of a policy for one job."""
 
     urgency: float
     #: Whether the job is refused.
     refused: bool = False
-    #: The reason that the program gave, if it gave a text.
+    #: The reason that the program returned, if it returned a text.
     detail: str = ""
-    #: The programs that failed, with their errors.
+    #: Errors of the programs that failed, prefixed with their names.
     failures: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """Something wrong with a policy."""
+    """A fault in a policy."""
 
     policy: str
     program: str
@@ -63,8 +63,8 @@
 class Rules:
     """A compiled policy.
 
-    :param policy: its texts
-    :raises ferryledge.policy.PolicyError: if a program is not valid
+    :param policy: the program texts
+    :raises ferryledge.policy.PolicyError: if a program is invalid
     """
 
     def __init__(self, policy: PolicyTexts) -> None:
@@ -73,23 +73,24 @@
         self._refuse = _compile(policy.refuse)
 
     def judge(self, facts: _program.Facts) -> Ruling:
-        """Weigh a job and decide whether it is refused."""
+        """Evaluate the urgency of a job and whether it is refused."""
         failures = []
         urgency = facts.urgency
         refused, detail = False, ""
         try:
-            urgency = self._weigh(facts)
+            urgency = self._evaluate_urgency(facts)
         except _program.PolicyError as exc:
             failures.append(f"urgency: {exc}")
         try:
-            refused, detail = self._decide(facts)
+            refused, detail = self._evaluate_refusal(facts)
         except _program.PolicyError as exc:
             failures.append(f"refuse: {exc}")
         return Ruling(urgency, refused, detail, tuple(failures))
 
     def allows(self, facts: _program.Facts) -> bool:
-        """Return whether the job may run in ``facts.zone``.
+        """Return whether a job may run in ``facts.zone``.
 
+        :param facts: the facts of the job and the candidate zone
         :raises ferryledge.policy.PolicyError: if the program fails
         """
         if self._where is None:
@@ -101,10 +102,10 @@
 
     @property
     def limits_zones(self) -> bool:
-        """Whether the policy says where tasks may run."""
+        """Whether the policy limits the zones in which jobs may run."""
         return self._where is not None
 
-    def _weigh(self, facts: _program.Facts) -> float:
+    def _evaluate_urgency(self, facts: _program.Facts) -> float:
         if self._urgency is None:
             return facts.urgency
         value = self._urgency.run(facts)
@@ -112,7 +113,7 @@
             raise _program.PolicyError("urgency must be a number")
         return min(MAX_URGENCY, max(MIN_URGENCY, float(value)))
 
-    def _decide(self, facts: _program.Facts) -> tuple[bool, str]:
+    def _evaluate_refusal(self, facts: _program.Facts) -> tuple[bool, str]:
         if self._refuse is None:
             return False, ""
         value = self._refuse.run(facts)
@@ -121,7 +122,7 @@
         return bool(value), ""
 
 
-#: Jobs on which a policy is tried before it is published.
+#: Jobs on which a policy is tested before it is published.
 _SAMPLES = (
     _program.Facts("workspace", "service", zone="zone", home="zone"),
     _program.Facts(
@@ -134,9 +135,9 @@
 
 
 def check(policy: PolicyTexts) -> list[Problem]:
-    """Compile a policy and try it on sample jobs.
+    """Compile a policy and test it on sample jobs.
 
-    :return: what is wrong; empty if nothing is
+    :return: the faults found; empty if none
     """
     problems = []
     for name in ("urgency", "where", "refuse"):
