--- a/src/ferryledge/health/tests/test_told.py
+++ b/src/ferryledge/health/tests/test_told.py
@@ -1,97 +1,97 @@
-"""What others saw of endpoints counts beside what was seen here."""
+"""Failure rates that peers report eject and readmit endpoints."""
 
 import pytest
 
 from ferryledge import health
 
 _ENDPOINTS = [f"endpoint-{n}" for n in range(9)]
-_BAD = _ENDPOINTS[0]
+_FAILING = _ENDPOINTS[0]
 
 
 @pytest.fixture
 def judge() -> health.HealthJudge:
-    """Return a judge of nine endpoints of which nothing is known."""
-    made = health.HealthJudge()
+    """Return a tracker of nine endpoints without history."""
+    tracker = health.HealthJudge()
     for name in _ENDPOINTS:
-        made.join(name)
-    return made
+        tracker.join(name)
+    return tracker
 
 
-def _is_out(judge: health.HealthJudge, endpoint: str) -> bool:
+def _is_ejected(judge: health.HealthJudge, endpoint: str) -> bool:
     return isinstance(judge.state(endpoint), health.Ejected)
 
 
-def test_endpoint_that_fails_others_gets_nothing(
+def test_endpoint_that_fails_for_peers_is_ejected(
     judge: health.HealthJudge,
 ) -> None:
-    judge.told(_BAD, 0.6, 3, 1.0)
-    assert _is_out(judge, _BAD)
+    judge.told(_FAILING, 0.6, 3, 1.0)
+    assert _is_ejected(judge, _FAILING)
 
 
-def test_what_fails_everywhere_is_no_endpoints_fault(
+def test_failures_everywhere_eject_no_endpoint(
     judge: health.HealthJudge,
 ) -> None:
     for name in _ENDPOINTS:
         judge.told(name, 0.5, 0, 1.0)
     for name in _ENDPOINTS:
         judge.told(name, 0.5, 3, 1.1)
-    assert not any(_is_out(judge, name) for name in _ENDPOINTS)
+    assert not any(_is_ejected(judge, name) for name in _ENDPOINTS)
 
 
-def test_no_more_than_a_third_is_out(judge: health.HealthJudge) -> None:
+def test_ejected_share_is_limited(judge: health.HealthJudge) -> None:
     for name in _ENDPOINTS[:5]:
         judge.told(name, 1.0, 9, 1.0)
-    out = [name for name in _ENDPOINTS if _is_out(judge, name)]
-    assert 0 < len(out) <= len(_ENDPOINTS) * 0.34
+    ejected = [name for name in _ENDPOINTS if _is_ejected(judge, name)]
+    assert 0 < len(ejected) <= len(_ENDPOINTS) * 0.34
 
 
-def test_old_failures_do_not_speak_against_a_probe(
+def test_failures_before_a_readmission_are_ignored(
     judge: health.HealthJudge,
 ) -> None:
-    judge.told(_BAD, 0.6, 3, 1.0)
-    assert judge.probes_due(2.1) == [_BAD]
-    judge.probe_sent(_BAD)
-    judge.ended(_BAD, "quick", "a", True, 2.3)
-    judge.told(_BAD, 0.6, 3, 2.4)
-    assert judge.state(_BAD) == health.Healthy()
-    judge.told(_BAD, 0.6, 4, 2.5)
-    assert _is_out(judge, _BAD)
+    judge.told(_FAILING, 0.6, 3, 1.0)
+    assert judge.probes_due(2.1) == [_FAILING]
+    judge.probe_sent(_FAILING)
+    judge.ended(_FAILING, "quick", "a", True, 2.3)
+    judge.told(_FAILING, 0.6, 3, 2.4)
+    assert judge.state(_FAILING) == health.Healthy()
+    judge.told(_FAILING, 0.6, 4, 2.5)
+    assert _is_ejected(judge, _FAILING)
 
 
-def test_news_of_failures_spares_the_own_probe(
+def test_new_failures_eject_an_endpoint_before_its_probe(
     judge: health.HealthJudge,
 ) -> None:
-    judge.told(_BAD, 0.6, 3, 1.0)
+    judge.told(_FAILING, 0.6, 3, 1.0)
     judge.probes_due(2.1)
-    judge.told(_BAD, 0.7, 4, 2.2)
-    assert judge.state(_BAD) == health.Ejected(until=4.2)
+    judge.told(_FAILING, 0.7, 4, 2.2)
+    assert judge.state(_FAILING) == health.Ejected(until=4.2)
 
 
-def test_endpoint_that_does_well_for_others_is_used_at_once(
+def test_endpoint_that_works_for_peers_is_readmitted(
     judge: health.HealthJudge,
 ) -> None:
-    judge.told(_BAD, 0.6, 3, 1.0)
-    judge.told(_BAD, 0.0, 0, 1.4)
-    assert judge.state(_BAD) == health.Healthy()
+    judge.told(_FAILING, 0.6, 3, 1.0)
+    judge.told(_FAILING, 0.0, 0, 1.4)
+    assert judge.state(_FAILING) == health.Healthy()
 
 
-def test_agent_that_starts_anew_counts_from_nothing(
+def test_restarted_failure_count_is_accepted(
     judge: health.HealthJudge,
 ) -> None:
-    judge.told(_BAD, 0.6, 30, 1.0)
-    judge.told(_BAD, 0.0, 0, 1.4)
-    judge.told(_BAD, 0.5, 3, 9.0)
-    assert _is_out(judge, _BAD)
+    judge.told(_FAILING, 0.6, 30, 1.0)
+    judge.told(_FAILING, 0.0, 0, 1.4)
+    judge.told(_FAILING, 0.5, 3, 9.0)
+    assert _is_ejected(judge, _FAILING)
 
 
-def test_ejections_that_are_long_over_are_forgotten(
+def test_ejection_length_is_reset_after_a_while(
     judge: health.HealthJudge,
 ) -> None:
     failures = 0
     for at in (1.0, 5.0, 60.0):
         failures += 3
-        judge.told(_BAD, 0.6, failures, at)
-        assert _is_out(judge, _BAD)
-        last = judge.state(_BAD)
-        judge.told(_BAD, 0.0, 0, at + 0.5)
-    assert last == health.Ejected(until=61.0)
+        judge.told(_FAILING, 0.6, failures, at)
+        assert _is_ejected(judge, _FAILING)
+        state = judge.state(_FAILING)
+        judge.told(_FAILING, 0.0, 0, at + 0.5)
+    assert state == health.Ejected(until=61.0)
--- a/src/ferryledge/ledger/tests/test_starts.py
+++ b/src/ferryledge/ledger/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""The start ledger admits each bound task once."""
+"""The start ledger admits each bound task at most once."""
 
 import pytest
 
@@ -16,14 +16,14 @@
     return ledger.Finish(True, b"1", 0.1, at)
 
 
-def test_a_repeat_is_not_a_second_start(starts):
+def test_repeated_request_does_not_start_again(starts):
     assert starts.admit(KEY, "f.1", 0) is ledger.Admission.FRESH
     assert starts.admit(KEY, "f.1", 0) is ledger.Admission.REPEAT
     starts.finish(KEY, finish())
     assert starts.admit(KEY, "f.1", 0) is ledger.Admission.REPEAT
 
 
-def test_a_repeat_is_refused_after_its_record_was_dropped(starts):
+def test_repeated_request_is_refused_after_its_record_expired(starts):
     starts.admit(KEY, "f.1", 0)
     starts.finish(KEY, finish(at=0.0))
     starts.expire(11.0)
@@ -31,12 +31,12 @@
     assert starts.admit(KEY, "f.1", 0) is ledger.Admission.REFUSED
 
 
-def test_a_release_before_the_start_stands(starts):
+def test_released_task_never_starts(starts):
     assert starts.release(KEY)
     assert starts.admit(KEY, "f.1", 0) is ledger.Admission.REFUSED
 
 
-def test_a_started_task_is_not_released(starts):
+def test_started_task_is_not_released(starts):
     starts.admit(KEY, "f.1", 0)
     assert not starts.release(KEY)
 
@@ -49,24 +49,26 @@
         ("other.3", ledger.Admission.FRESH),
     ],
 )
-def test_a_fence_covers_one_fronts_earlier_jobs(starts, submission, expected):
+def test_fence_covers_earlier_jobs_of_one_front(starts, submission, expected):
     starts.fence("owner", "front", through=3)
     assert starts.admit(KEY, submission, 0) is expected
 
 
-def test_a_fence_tells_what_started(starts):
+def test_fence_returns_started_tasks(starts):
     starts.admit(KEY, "front.1", 7)
-    told = starts.fence("owner", "front", through=3)
-    assert [(one.submission, one.index) for one in told] == [("front.1", 7)]
+    records = starts.fence("owner", "front", through=3)
+    assert [(record.submission, record.index) for record in records] == [
+        ("front.1", 7)
+    ]
 
 
-def test_owners_are_counted_apart(starts):
+def test_owners_have_separate_sequences(starts):
     starts.admit(KEY, "f.1", 0)
     other = ledger.TaskKey("other", 1)
     assert starts.admit(other, "f.1", 1) is ledger.Admission.FRESH
 
 
-def test_a_start_that_was_taken_back_never_starts(starts):
+def test_undone_start_never_starts_again(starts):
     starts.admit(KEY, "f.1", 0)
     assert starts.take_back(KEY) is not None
     assert starts.running == 0
--- a/src/ferryledge/policy/tests/test_policy.py
+++ b/src/ferryledge/policy/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Programs are bounded, checked, and fail in a defined way."""
+"""Programs are bounded and checked, and fail with a policy error."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("", "not an expression"),
         ("tasks +", "not an expression"),
@@ -49,8 +49,8 @@
         ("(" * 220 + "1" + ")" * 220, "not an expression"),
     ],
 )
-def test_what_is_not_a_program(text, told):
-    with pytest.raises(policy.PolicyError, match=told):
+def test_invalid_programs(text, message):
+    with pytest.raises(policy.PolicyError, match=message):
         policy.Program(text)
 
 
@@ -58,12 +58,12 @@
     "text",
     ["1 / (tasks - 4)", "'a' * tasks", "'%s' % tasks", "'a' + 1", "zone < 3"],
 )
-def test_a_program_that_fails_says_so(text):
+def test_failing_program_raises_a_policy_error(text):
     with pytest.raises(policy.PolicyError):
         policy.Program(text).run(FACTS)
 
 
-def test_a_failing_policy_counts_as_absent_and_is_visible():
+def test_failing_programs_are_ignored_and_reported():
     rules = policy.Rules(
         configlog.Policy("p", "1 / (tasks - 4)", "", "zone < 3")
     )
@@ -77,7 +77,7 @@
     assert rules.judge(FACTS).urgency == 100.0
 
 
-def test_a_refusal_may_give_its_reason():
+def test_refusal_can_give_a_reason():
     rules = policy.Rules(
         configlog.Policy("p", refuse="'too large' if tasks > 3 else ''")
     )
@@ -85,9 +85,9 @@
     assert (ruling.refused, ruling.detail) == (True, "too large")
 
 
-def test_the_dry_run_finds_what_only_fails_at_run_time():
-    found = policy.check(configlog.Policy("p", urgency="1 / declared_s"))
-    assert [one.program for one in found] == ["urgency"]
+def test_check_finds_failures_at_run_time():
+    problems = policy.check(configlog.Policy("p", urgency="1 / declared_s"))
+    assert [problem.program for problem in problems] == ["urgency"]
 
 
 NAMES = st.sampled_from(["tasks", "load", "zone", "repeatable", "1", "'a'"])
@@ -98,8 +98,10 @@
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
 @hypothesis.given(st.lists(st.tuples(NAMES, OPERATORS), max_size=12), NAMES)
-def test_any_expression_ends_in_a_value_or_a_clear_error(pairs, last):
-    text = " ".join(f"{name} {sign}" for name, sign in pairs) + " " + last
+def test_any_expression_gives_a_value_or_a_message(pairs, last):
+    text = (
+        " ".join(f"{name} {operator}" for name, operator in pairs) + " " + last
+    )
     try:
         value = policy.Program(text).run(FACTS)
     except policy.PolicyError as exc:
@@ -110,7 +112,7 @@
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
 @hypothesis.given(st.text(max_size=60))
-def test_any_text_ends_in_a_value_or_a_clear_error(text):
+def test_any_text_gives_a_value_or_a_message(text):
     try:
         policy.Program(text).run(FACTS)
     except policy.PolicyError as exc:
