--- a/src/ferryledge/health/_judge.py
+++ b/src/ferryledge/health/_tracker.py
@@ -21,9 +21,9 @@
     #: Largest share of the endpoints that may be ejected at once.
     max_ejected: float = 0.34
     #: Length of the first ejection in seconds; each further one doubles.
-    first_ejection_s: float = 1.0
+    base_ejection_s: float = 1.0
     #: Upper bound on the length of an ejection, in seconds.
-    longest_ejection_s: float = 60.0
+    max_ejection_s: float = 60.0
     #: Seconds after an ejection's end until the doubling starts over.
     forget_after_s: float = 20.0
 
@@ -89,7 +89,7 @@
         return is_new
 
 
-class HealthJudge:
+class HealthTracker:
     """Tracks the failure rate and the health of each endpoint.
 
     :param options: thresholds and durations; the defaults if not given
@@ -250,8 +250,8 @@
             record.ejections = 0
         self._restricted.add(endpoint)
         record.ejections += 1
-        length_s = options.first_ejection_s * 2.0 ** (record.ejections - 1)
-        until = now + min(length_s, options.longest_ejection_s)
+        length_s = options.base_ejection_s * 2.0 ** (record.ejections - 1)
+        until = now + min(length_s, options.max_ejection_s)
         record.state = Ejected(until)
         record.ejected_until = until
 
--- a/src/ferryledge/health/tests/test_told.py
+++ b/src/ferryledge/health/tests/test_told.py
@@ -9,27 +9,27 @@
 
 
 @pytest.fixture
-def judge() -> health.HealthJudge:
+def judge() -> health.HealthTracker:
     """Return a tracker of nine endpoints without history."""
-    tracker = health.HealthJudge()
+    tracker = health.HealthTracker()
     for name in _ENDPOINTS:
         tracker.join(name)
     return tracker
 
 
-def _is_ejected(judge: health.HealthJudge, endpoint: str) -> bool:
+def _is_ejected(judge: health.HealthTracker, endpoint: str) -> bool:
     return isinstance(judge.state(endpoint), health.Ejected)
 
 
 def test_endpoint_that_fails_for_peers_is_ejected(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_FAILING, 0.6, 3, 1.0)
     assert _is_ejected(judge, _FAILING)
 
 
 def test_failures_everywhere_eject_no_endpoint(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     for name in _ENDPOINTS:
         judge.told(name, 0.5, 0, 1.0)
@@ -38,7 +38,7 @@
     assert not any(_is_ejected(judge, name) for name in _ENDPOINTS)
 
 
-def test_ejected_share_is_limited(judge: health.HealthJudge) -> None:
+def test_ejected_share_is_limited(judge: health.HealthTracker) -> None:
     for name in _ENDPOINTS[:5]:
         judge.told(name, 1.0, 9, 1.0)
     ejected = [name for name in _ENDPOINTS if _is_ejected(judge, name)]
@@ -46,7 +46,7 @@
 
 
 def test_failures_before_a_readmission_are_ignored(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_FAILING, 0.6, 3, 1.0)
     assert judge.probes_due(2.1) == [_FAILING]
@@ -59,7 +59,7 @@
 
 
 def test_new_failures_eject_an_endpoint_before_its_probe(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_FAILING, 0.6, 3, 1.0)
     judge.probes_due(2.1)
@@ -68,7 +68,7 @@
 
 
 def test_endpoint_that_works_for_peers_is_readmitted(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_FAILING, 0.6, 3, 1.0)
     judge.told(_FAILING, 0.0, 0, 1.4)
@@ -76,7 +76,7 @@
 
 
 def test_restarted_failure_count_is_accepted(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_FAILING, 0.6, 30, 1.0)
     judge.told(_FAILING, 0.0, 0, 1.4)
@@ -85,7 +85,7 @@
 
 
 def test_ejection_length_is_reset_after_a_while(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     failures = 0
     for at in (1.0, 5.0, 60.0):
--- a/src/ferryledge/ledger/_starts.py
+++ b/src/ferryledge/ledger/_starts.py
@@ -59,12 +59,12 @@
     finish: Finish | None = None
 
 
-def front_of(submission: str) -> str:
+def submission_front(submission: str) -> str:
     """Return the incarnation of the front that made the submission."""
     return submission.partition(SUBMISSION_SEPARATOR)[0]
 
 
-def number_of(submission: str) -> int:
+def submission_number(submission: str) -> int:
     """Return the submission's number at its front, or -1 if it has none."""
     number = submission.partition(SUBMISSION_SEPARATOR)[2]
     return int(number) if number.isascii() and number.isdigit() else -1
@@ -138,7 +138,7 @@
         self._finished[key] = record
         return record
 
-    def take_back(self, key: TaskKey) -> TaskRecord | None:
+    def undo_start(self, key: TaskKey) -> TaskRecord | None:
         """Undo a start that provably did not reach the endpoint.
 
         The sequence number stays used, so a repeated request is refused.
@@ -161,13 +161,16 @@
             record
             for table in (self._running, self._finished)
             for key, record in table.items()
-            if key.owner == owner and front_of(record.submission) == front
+            if key.owner == owner
+            and submission_front(record.submission) == front
         ]
 
     def is_fenced(self, owner: str, submission: str) -> bool:
         """Return whether an owner's starts for a submission are fenced."""
-        through = self._fenced_through.get((owner, front_of(submission)), -1)
-        return number_of(submission) <= through
+        through = self._fenced_through.get(
+            (owner, submission_front(submission)), -1
+        )
+        return submission_number(submission) <= through
 
     def expire(self, now: float) -> None:
         """Drop results past the retention or above the limit, oldest first."""
--- a/src/ferryledge/ledger/tests/test_starts.py
+++ b/src/ferryledge/ledger/tests/test_starts.py
@@ -70,6 +70,6 @@
 
 def test_undone_start_never_starts_again(starts):
     starts.admit(KEY, "f.1", 0)
-    assert starts.take_back(KEY) is not None
+    assert starts.undo_start(KEY) is not None
     assert starts.running == 0
     assert starts.admit(KEY, "f.1", 0) is ledger.Admission.REFUSED
--- a/src/ferryledge/limits/_fairness.py
+++ b/src/ferryledge/limits/_fairness.py
@@ -5,7 +5,7 @@
 """
 
 
-def handicap(
+def fair_share_penalty(
     used: int, weight: float, total_weight: float, slots: int
 ) -> float:
     """Return the factor by which a workspace exceeds its fair share.
--- a/src/ferryledge/limits/_retry.py
+++ b/src/ferryledge/limits/_retry.py
@@ -39,7 +39,7 @@
         return True
 
 
-def spread_delay(base_s: float, most_s: float, rng: random.Random) -> float:
+def jittered_delay(base_s: float, most_s: float, rng: random.Random) -> float:
     """Return a jittered delay in seconds.
 
     The delay lies between one and two times the base, up to the longest.
--- a/src/ferryledge/placement/_choice.py
+++ b/src/ferryledge/placement/_choice.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class PlacementRequest:
     """A job's requirements and preferences for an endpoint."""
 
     #: Expected run time of one task at normal speed, in seconds.
@@ -27,12 +27,12 @@
     #: The scheduler's own zone, preferred among equal endpoints.
     local_zone: str = ""
     #: Names of the endpoints to prefer.
-    favourites: frozenset[str] = frozenset()
+    preferred_endpoints: frozenset[str] = frozenset()
     #: Process keys of the endpoints that may be used; all if none.
     processes: frozenset[str] | None = None
 
 
-def _is_worthwhile(wish: Wish, slowness: float) -> bool:
+def _is_worthwhile(wish: PlacementRequest, slowness: float) -> bool:
     """Return whether a free slot ends a task sooner than waiting would."""
     if slowness <= NORMAL_SLOWNESS:
         return True
@@ -42,7 +42,7 @@
 def choose_endpoint(
     rows: abc.Iterable[_tables.EndpointRow],
     run_times: _runtimes.RunTimes,
-    wish: Wish,
+    wish: PlacementRequest,
 ) -> _tables.EndpointRow | None:
     """Return the best endpoint with a free slot for a job, or none.
 
@@ -61,14 +61,14 @@
             continue
         if wish.processes is not None and row.process not in wish.processes:
             continue
-        capacity = row.fits(wish.memory_mb)
+        capacity = row.task_capacity(wish.memory_mb)
         if not capacity:
             continue
         slowness = run_times.slowness(row.name) / wish.normal_slowness
         if not _is_worthwhile(wish, slowness):
             continue
         normal = slowness <= NORMAL_SLOWNESS
-        preferred = row.name in wish.favourites
+        preferred = row.name in wish.preferred_endpoints
         score = (normal, preferred, capacity, row.zone == wish.local_zone)
         if best is None or score > best_score:
             best, best_score = row, score
--- a/src/ferryledge/placement/_runtimes.py
+++ b/src/ferryledge/placement/_runtimes.py
@@ -58,7 +58,7 @@
         self._services: dict[str, _Service] = {}
         self._endpoint_slowness: dict[str, _Average] = {}
 
-    def expect(self, service: str, declared_s: float = 0.0) -> float:
+    def predict(self, service: str, declared_s: float = 0.0) -> float:
         """Return the expected run time in seconds at normal speed.
 
         Combines the service's average with the declared run time, which is
--- a/src/ferryledge/placement/_tables.py
+++ b/src/ferryledge/placement/_tables.py
@@ -41,9 +41,9 @@
     #: Whether the endpoint's zone is cordoned.
     cordoned: bool = False
     #: Whether this scheduler may use the endpoint.
-    mine: bool = True
+    assigned: bool = True
     #: Whether the endpoint is silent or overdue with work outstanding.
-    doubted: bool = False
+    is_suspect: bool = False
     #: Whether health checks keep the endpoint out of use.
     ejected: bool = False
     #: Until when no task is bound, after it was busy or unreachable.
@@ -72,11 +72,11 @@
     @property
     def usable(self) -> bool:
         """Whether the endpoint may take new work."""
-        return (self.connected and self.mine) and not (
-            self.leaving or self.doubted or self.ejected or self.cordoned
+        return (self.connected and self.assigned) and not (
+            self.leaving or self.is_suspect or self.ejected or self.cordoned
         )
 
-    def fits(self, memory_mb: int) -> int:
+    def task_capacity(self, memory_mb: int) -> int:
         """Return the number of tasks of a memory size that can be bound now.
 
         :param memory_mb: memory of one task in MB; 0 is not counted
@@ -171,7 +171,7 @@
         row.foreign_slots_until = until
         self.refresh(row)
 
-    def forget_foreign(self, now: float) -> None:
+    def expire_foreign_slots(self, now: float) -> None:
         """Drop expired reports of slots that other schedulers use."""
         for row in self._rows.values():
             if row.foreign_slots and row.foreign_slots_until <= now:
@@ -189,7 +189,7 @@
         else:
             self._available.pop(row.name, None)
 
-    def open_rows(self, now: float) -> list[EndpointRow]:
+    def available_rows(self, now: float) -> list[EndpointRow]:
         """Return the endpoints with free slots that aren't paused."""
         return [
             row for row in self._available.values() if row.blocked_until <= now
