--- a/src/ferryledge/health/_tracker.py
+++ b/src/ferryledge/health/_tracker.py
@@ -20,7 +20,7 @@
     eject_at: float = _rate.EJECT_AT
     #: Largest share of the endpoints that may be ejected at once.
     max_ejected: float = 0.34
-    #: Length of the first ejection in seconds; each further one doubles.
+    #: Length of the first ejection in seconds; doubles with each further one.
     base_ejection_s: float = 1.0
     #: Upper bound on the length of an ejection, in seconds.
     max_ejection_s: float = 60.0
@@ -54,12 +54,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Record:
-    """State and failure total_of_others of one endpoint."""
+    """Health and failure rates of one endpoint."""
 
     state: Health = dataclasses.field(default_factory=Healthy)
     local: _rate.FailureRate = dataclasses.field(
         default_factory=_rate.FailureRate
     )
+    #: Number of ejections so far, for the doubling.
     ejections: int = 0
     #: When the last ejection ends or ended, in monotonic seconds.
     ejected_until: float = float("-inf")
@@ -70,7 +71,7 @@
     #: Reported failures up to this count predate a readmission.
     ignored_failures: int = 0
 
-    def record_report(self, rate: float, failures: int) -> bool:
+    def update_reported(self, rate: float, failures: int) -> bool:
         """Record a report by peers.
 
         :return: whether it holds failures that were not reported before
@@ -164,7 +165,7 @@
         """
         record = self._records.setdefault(endpoint, _Record())
         was_failing = record.reported_rate >= self._options.eject_at
-        is_new = record.record_report(rate, failures)
+        is_new = record.update_reported(rate, failures)
         match record.state:
             case Healthy() if is_new and self._is_outlier(record):
                 if self._may_eject():
--- a/src/ferryledge/placement/_choice.py
+++ b/src/ferryledge/placement/_choice.py
@@ -32,44 +32,47 @@
     processes: frozenset[str] | None = None
 
 
-def _is_worthwhile(wish: PlacementRequest, slowness: float) -> bool:
+def _is_worthwhile(request: PlacementRequest, slowness: float) -> bool:
     """Return whether a free slot ends a task sooner than waiting would."""
     if slowness <= NORMAL_SLOWNESS:
         return True
-    return wish.expected_s * slowness <= wish.wait_s + wish.expected_s
+    return request.expected_s * slowness <= request.wait_s + request.expected_s
 
 
 def choose_endpoint(
     rows: abc.Iterable[_tables.EndpointRow],
     run_times: _runtimes.RunTimes,
-    wish: PlacementRequest,
+    request: PlacementRequest,
 ) -> _tables.EndpointRow | None:
     """Return the best endpoint with a free slot for a job, or none.
 
     Normal endpoints rank before slow ones, preferred ones before others,
-    then those with more room, so that a job's tasks share messages. The
-    scheduler's own zone breaks ties.
+    then those with more free capacity, so that a job's tasks share
+    messages. The scheduler's own zone breaks ties.
 
     :param rows: the endpoints to choose from
     :param run_times: the endpoints' slowness
-    :param wish: the job's requirements
+    :param request: the job's requirements and preferences
     """
     best = None
     best_score = (False, False, 0, False)
     for row in rows:
-        if wish.zones is not None and row.zone not in wish.zones:
+        if request.zones is not None and row.zone not in request.zones:
             continue
-        if wish.processes is not None and row.process not in wish.processes:
+        if (
+            request.processes is not None
+            and row.process not in request.processes
+        ):
             continue
-        capacity = row.task_capacity(wish.memory_mb)
+        capacity = row.task_capacity(request.memory_mb)
         if not capacity:
             continue
-        slowness = run_times.slowness(row.name) / wish.normal_slowness
-        if not _is_worthwhile(wish, slowness):
+        slowness = run_times.slowness(row.name) / request.normal_slowness
+        if not _is_worthwhile(request, slowness):
             continue
         normal = slowness <= NORMAL_SLOWNESS
-        preferred = row.name in wish.preferred_endpoints
-        score = (normal, preferred, capacity, row.zone == wish.local_zone)
+        preferred = row.name in request.preferred_endpoints
+        score = (normal, preferred, capacity, row.zone == request.local_zone)
         if best is None or score > best_score:
             best, best_score = row, score
     return best
--- a/src/ferryledge/policy/_compiled.py
+++ b/src/ferryledge/policy/_compiled.py
@@ -148,13 +148,13 @@
             problems.append(Problem(policy.name, name, str(exc)))
     if problems:
         return problems
-    rules = CompiledPolicy(policy)
+    compiled = CompiledPolicy(policy)
     for facts in _SAMPLES:
-        for failure in rules.evaluate(facts).failures:
+        for failure in compiled.evaluate(facts).failures:
             name, _, message = failure.partition(": ")
             problems.append(Problem(policy.name, name, message))
         try:
-            rules.allows(facts)
+            compiled.allows(facts)
         except _program.PolicyError as exc:
             problems.append(Problem(policy.name, "where", str(exc)))
     return list(dict.fromkeys(problems))
--- a/src/ferryledge/policy/tests/test_policy.py
+++ b/src/ferryledge/policy/tests/test_policy.py
@@ -64,25 +64,25 @@
 
 
 def test_failing_programs_are_ignored_and_reported():
-    rules = policy.CompiledPolicy(
+    compiled = policy.CompiledPolicy(
         configlog.Policy("p", "1 / (tasks - 4)", "", "zone < 3")
     )
-    ruling = rules.evaluate(FACTS)
-    assert (ruling.urgency, ruling.refused) == (FACTS.urgency, False)
-    assert len(ruling.failures) == 2
+    decision = compiled.evaluate(FACTS)
+    assert (decision.urgency, decision.refused) == (FACTS.urgency, False)
+    assert len(decision.failures) == 2
 
 
 def test_urgency_is_clamped():
-    rules = policy.CompiledPolicy(configlog.Policy("p", "tasks * 1000"))
-    assert rules.evaluate(FACTS).urgency == 100.0
+    compiled = policy.CompiledPolicy(configlog.Policy("p", "tasks * 1000"))
+    assert compiled.evaluate(FACTS).urgency == 100.0
 
 
 def test_refusal_can_give_a_reason():
-    rules = policy.CompiledPolicy(
+    compiled = policy.CompiledPolicy(
         configlog.Policy("p", refuse="'too large' if tasks > 3 else ''")
     )
-    ruling = rules.evaluate(FACTS)
-    assert (ruling.refused, ruling.detail) == (True, "too large")
+    decision = compiled.evaluate(FACTS)
+    assert (decision.refused, decision.detail) == (True, "too large")
 
 
 def test_check_finds_failures_at_run_time():
