--- a/src/ferryledge/client/_client.py
+++ b/src/ferryledge/client/_client.py
@@ -96,7 +96,7 @@
         request_id = job.request_id or secrets.token_hex(8)
         ticket = "" if job.repeatable else self._take_spare()
         ticket_used = False
-        self._budget.attempt()
+        self._budget.record_attempt()
         attempt = 0
         for turn in itertools.count(next(self._turns)):
             attempt += 1
@@ -112,7 +112,7 @@
                 # Its minter is gone; nothing else was sent under it.
                 ticket = ""
                 attempt -= 1
-                if self._budget.take():
+                if self._budget.try_acquire():
                     continue
                 return reply
             ticket_used = True
@@ -120,7 +120,7 @@
                 return reply
             if attempt >= self._options.max_attempts:
                 return reply
-            if not self._budget.take():
+            if not self._budget.try_acquire():
                 return reply
             await anyio.sleep(self._delay(reply))
         raise AssertionError("turns never end")
--- a/src/ferryledge/core/_answering.py
+++ b/src/ferryledge/core/_answering.py
@@ -91,7 +91,7 @@
     def forget(self, job: _jobs.Job) -> None:
         """Drop a job and give back what it takes."""
         self._state.queue.remove(job.submission)
-        self._state.quotas.give_back(job.message.workspace, len(job.bound))
+        self._state.quotas.release(job.message.workspace, len(job.bound))
         self._state.jobs.pop(job.submission, None)
 
     def answer(
--- a/src/ferryledge/core/_placing.py
+++ b/src/ferryledge/core/_placing.py
@@ -41,7 +41,7 @@
     def _place_job(self, now: float, job: _jobs.Job) -> None:
         waiting = job.waiting
         while waiting.tasks:
-            room = self._state.quotas.room(waiting.workspace)
+            room = self._state.quotas.headroom(waiting.workspace)
             if room < 1:
                 return
             row = self._choose(now, job)
@@ -82,7 +82,7 @@
         if at_arbiter:
             indices = [job.waiting.tasks.popleft() for _ in range(count)]
         else:
-            indices = self._state.queue.take(job.waiting, count)
+            indices = self._state.queue.pop_tasks(job.waiting, count)
         first_seq = self._state.next_seq
         self._state.next_seq += count
         tasks = job.message.tasks
@@ -102,7 +102,7 @@
             )
             self._state.table.bind(binding)
             job.bound[binding.seq] = row.name
-        self._state.quotas.take(job.message.workspace, count)
+        self._state.quotas.acquire(job.message.workspace, count)
         self._state.trace.note(
             now,
             job.submission,
@@ -153,7 +153,7 @@
 
     def send_probes(self, now: float) -> None:
         """Try endpoints whose ejection is over with one task each."""
-        if not self._state.health_tracker.held:
+        if not self._state.health_tracker.has_restricted:
             return
         self._state.health_tracker.probes_due(now)
         for row in self._state.table:
--- a/src/ferryledge/core/_task_ends.py
+++ b/src/ferryledge/core/_task_ends.py
@@ -95,7 +95,7 @@
         if binding is not None:
             job = self._state.jobs.get(binding.submission)
             if job is not None:
-                self._state.quotas.give_back(job.message.workspace, 1)
+                self._state.quotas.release(job.message.workspace, 1)
         return binding
 
     def _learn(
@@ -152,7 +152,7 @@
                 job.moved.add(binding.index)
                 moved.append(binding.index)
             else:
-                self._state.queue.give_back(job.waiting, binding.index)
+                self._state.queue.requeue(job.waiting, binding.index)
         if job is not None:
             self._state.trace.note(
                 now,
--- a/src/ferryledge/health/_tracker.py
+++ b/src/ferryledge/health/_tracker.py
@@ -113,7 +113,7 @@
         return record.local.rate if record else 0.0
 
     @property
-    def held(self) -> bool:
+    def has_restricted(self) -> bool:
         """Whether any endpoint is ejected or probing."""
         return bool(self._restricted)
 
@@ -149,7 +149,7 @@
         if failing and isinstance(record.state, Healthy) and self._may_eject():
             self._eject(endpoint, record, now)
 
-    def told(
+    def record_report(
         self, endpoint: str, rate: float, failures: int, now: float
     ) -> None:
         """Record the failure rate that peers report of an endpoint.
--- a/src/ferryledge/health/tests/test_told.py
+++ b/src/ferryledge/health/tests/test_peer_reports.py
@@ -24,7 +24,7 @@
 def test_endpoint_that_fails_for_peers_is_ejected(
     tracker: health.HealthTracker,
 ) -> None:
-    tracker.told(_FAILING, 0.6, 3, 1.0)
+    tracker.record_report(_FAILING, 0.6, 3, 1.0)
     assert _is_ejected(tracker, _FAILING)
 
 
@@ -32,15 +32,15 @@
     tracker: health.HealthTracker,
 ) -> None:
     for name in _ENDPOINTS:
-        tracker.told(name, 0.5, 0, 1.0)
+        tracker.record_report(name, 0.5, 0, 1.0)
     for name in _ENDPOINTS:
-        tracker.told(name, 0.5, 3, 1.1)
+        tracker.record_report(name, 0.5, 3, 1.1)
     assert not any(_is_ejected(tracker, name) for name in _ENDPOINTS)
 
 
 def test_ejected_share_is_limited(tracker: health.HealthTracker) -> None:
     for name in _ENDPOINTS[:5]:
-        tracker.told(name, 1.0, 9, 1.0)
+        tracker.record_report(name, 1.0, 9, 1.0)
     ejected = [name for name in _ENDPOINTS if _is_ejected(tracker, name)]
     assert 0 < len(ejected) <= len(_ENDPOINTS) * 0.34
 
@@ -48,39 +48,39 @@
 def test_failures_before_a_readmission_are_ignored(
     tracker: health.HealthTracker,
 ) -> None:
-    tracker.told(_FAILING, 0.6, 3, 1.0)
+    tracker.record_report(_FAILING, 0.6, 3, 1.0)
     assert tracker.probes_due(2.1) == [_FAILING]
     tracker.probe_sent(_FAILING)
     tracker.ended(_FAILING, "quick", "a", True, 2.3)
-    tracker.told(_FAILING, 0.6, 3, 2.4)
+    tracker.record_report(_FAILING, 0.6, 3, 2.4)
     assert tracker.state(_FAILING) == health.Healthy()
-    tracker.told(_FAILING, 0.6, 4, 2.5)
+    tracker.record_report(_FAILING, 0.6, 4, 2.5)
     assert _is_ejected(tracker, _FAILING)
 
 
 def test_new_failures_eject_an_endpoint_before_its_probe(
     tracker: health.HealthTracker,
 ) -> None:
-    tracker.told(_FAILING, 0.6, 3, 1.0)
+    tracker.record_report(_FAILING, 0.6, 3, 1.0)
     tracker.probes_due(2.1)
-    tracker.told(_FAILING, 0.7, 4, 2.2)
+    tracker.record_report(_FAILING, 0.7, 4, 2.2)
     assert tracker.state(_FAILING) == health.Ejected(until=4.2)
 
 
 def test_endpoint_that_works_for_peers_is_readmitted(
     tracker: health.HealthTracker,
 ) -> None:
-    tracker.told(_FAILING, 0.6, 3, 1.0)
-    tracker.told(_FAILING, 0.0, 0, 1.4)
+    tracker.record_report(_FAILING, 0.6, 3, 1.0)
+    tracker.record_report(_FAILING, 0.0, 0, 1.4)
     assert tracker.state(_FAILING) == health.Healthy()
 
 
 def test_restarted_failure_count_is_accepted(
     tracker: health.HealthTracker,
 ) -> None:
-    tracker.told(_FAILING, 0.6, 30, 1.0)
-    tracker.told(_FAILING, 0.0, 0, 1.4)
-    tracker.told(_FAILING, 0.5, 3, 9.0)
+    tracker.record_report(_FAILING, 0.6, 30, 1.0)
+    tracker.record_report(_FAILING, 0.0, 0, 1.4)
+    tracker.record_report(_FAILING, 0.5, 3, 9.0)
     assert _is_ejected(tracker, _FAILING)
 
 
@@ -90,8 +90,8 @@
     failures = 0
     for at in (1.0, 5.0, 60.0):
         failures += 3
-        tracker.told(_FAILING, 0.6, failures, at)
+        tracker.record_report(_FAILING, 0.6, failures, at)
         assert _is_ejected(tracker, _FAILING)
         state = tracker.state(_FAILING)
-        tracker.told(_FAILING, 0.0, 0, at + 0.5)
+        tracker.record_report(_FAILING, 0.0, 0, at + 0.5)
     assert state == health.Ejected(until=61.0)
--- a/src/ferryledge/leases/_run_tracker.py
+++ b/src/ferryledge/leases/_run_tracker.py
@@ -288,7 +288,9 @@
         :param told: what is known for callers of this zone
         """
         row.told_rate = told.rate
-        self._health_tracker.told(row.name, told.rate, told.failures, now)
+        self._health_tracker.record_report(
+            row.name, told.rate, told.failures, now
+        )
         self._note_doubt(row)
         self._note_health(row)
 
--- a/src/ferryledge/limits/_quota.py
+++ b/src/ferryledge/limits/_quota.py
@@ -40,15 +40,15 @@
         """Return the workspaces that use slots in this pool."""
         return frozenset(self._used)
 
-    def room(self, workspace: str) -> float:
+    def headroom(self, workspace: str) -> float:
         """Return the slots that are left of a workspace's limit."""
         return max(0.0, self.limit(workspace) - self.used(workspace))
 
-    def take(self, workspace: str, slots: int) -> None:
+    def acquire(self, workspace: str, slots: int) -> None:
         """Record slots as used."""
         self._used[workspace] = self.used(workspace) + slots
 
-    def give_back(self, workspace: str, slots: int) -> None:
+    def release(self, workspace: str, slots: int) -> None:
         """Record used slots as free."""
         remaining = self.used(workspace) - slots
         if remaining > 0:
--- a/src/ferryledge/limits/_retry.py
+++ b/src/ferryledge/limits/_retry.py
@@ -22,13 +22,13 @@
         """Retries that are available."""
         return self._available
 
-    def attempt(self) -> None:
+    def record_attempt(self) -> None:
         """Record a first attempt."""
         self._available = min(
             self._max_available, self._available + self._ratio
         )
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Use a retry of the budget.
 
         :return: whether a retry was available
--- a/src/ferryledge/placement/_waiting.py
+++ b/src/ferryledge/placement/_waiting.py
@@ -108,7 +108,7 @@
             self._work_s += len(job.tasks) * job.expected_s
         self._push(job)
 
-    def give_back(self, job: WaitingJob, index: int) -> None:
+    def requeue(self, job: WaitingJob, index: int) -> None:
         """Put a released task back, ahead of the job's other tasks."""
         if job.submission not in self._jobs:
             job.tasks.appendleft(index)
@@ -119,7 +119,7 @@
         self._work_s += job.expected_s
         self._push(job)
 
-    def take(self, job: WaitingJob, count: int) -> list[int]:
+    def pop_tasks(self, job: WaitingJob, count: int) -> list[int]:
         """Remove a number of a job's tasks and return their indices."""
         indices = [job.tasks.popleft() for _ in range(count)]
         self._tasks -= count
--- a/src/ferryledge/proofs/_mutations.py
+++ b/src/ferryledge/proofs/_mutations.py
@@ -77,7 +77,7 @@
         job = self._state.jobs.get(binding.submission)
         self._state.table.unbind(row.name, binding.seq)
         if job is not None and job.bound.pop(binding.seq, None):
-            self._state.queue.give_back(job.waiting, binding.index)
+            self._state.queue.requeue(job.waiting, binding.index)
     self._state.table.drop(row.name)
 
 
