--- a/src/ferryledge/leases/_acceptance.py
+++ b/src/ferryledge/leases/_acceptance.py
@@ -1,4 +1,4 @@
-"""Whether an agent takes new runs, and how much room it has for them."""
+"""Decides whether an agent accepts an order of runs."""
 
 from ferryledge.leases import _cordons
 from ferryledge.leases import _endpoint
@@ -7,19 +7,19 @@
 from ferryledge.leases import _timing
 from ferryledge import wire
 
-#: Steps in which the time left is told, in seconds.
+#: The time until shutdown is reported in steps of this many seconds.
 _TIME_STEP_S = 0.5
 _NEVER = float("inf")
 
 
 class Acceptance:
-    """What an agent promises about its endpoint.
+    """Admits or refuses orders by the state of the agent and its endpoint.
 
-    :param link: the link to the endpoint
-    :param runs: what the endpoint holds
-    :param owners: the entries
-    :param cordons: the availability zones that take no new work
-    :param zone: its own
+    :param link: what is known of the endpoint and its lease
+    :param runs: the runs at the endpoint
+    :param owners: the entries and their grants
+    :param cordons: the availability zones that accept no new work
+    :param zone: availability zone of the agent
     """
 
     def __init__(
@@ -39,34 +39,37 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether this process is to end."""
+        """Whether this process is shutting down."""
         return self._drain_until < _NEVER
 
     @property
     def free(self) -> wire.Resources:
-        """Room that no run holds."""
+        """Capacity of the endpoint that no run occupies."""
         seen = self._link.seen
         if seen is None:
             return wire.Resources()
         return seen.capacity.minus(self._runs.held)
 
     def drain(self, until: float) -> None:
-        """Take only what ends before this process does.
+        """Accept only runs that end before this process shuts down.
 
-        :param until: when that is, in monotonic seconds
+        :param until: time of the shutdown, in monotonic seconds
         """
         self._drain_until = until
 
     def refusal(
         self, now: float, owner: _owners.Owner, order: wire.OrderRuns
     ) -> wire.NotStarted | None:
-        """Return why none of an order's runs is started; none if some may."""
+        """Return why an order is refused; none if it isn't.
+
+        Capacity isn't checked here, but for each run.
+        """
         if order.expected_s * _timing.RUN_MARGIN > self._time_left(now):
             return wire.NotStarted.LEAVING
         if order.endpoint != self._link.incarnation:
             return wire.NotStarted.ENDPOINT
         if self._cordons.covers(self._zone):
-            # Its entry may be cut off from all that could tell it.
+            # The entry may be partitioned and not know of the cordon.
             return wire.NotStarted.CORDONED
         if not self.is_open(now):
             return wire.NotStarted.LEAVING
@@ -75,7 +78,7 @@
         return None
 
     def is_open(self, now: float) -> bool:
-        """Return whether new runs are taken at all."""
+        """Return whether new runs are accepted at all."""
         seen = self._link.seen
         if seen is None or seen.draining or self._time_left(now) <= 0.0:
             return False
@@ -84,12 +87,13 @@
         if not self._link.synced or not self._link.is_fresh(now):
             return False
         if self._link.is_down:
-            # It may have started again by the time that an order arrives.
+            # Another incarnation may be running when an order arrives.
             return False
+        # Runs without an owner occupy an amount that isn't known.
         return not self._runs.has_owner("")
 
     def remaining_s(self, now: float) -> float:
-        """Return the seconds that are left here; 0 is unlimited."""
+        """Return seconds until agent or endpoint stops; 0 is unlimited."""
         seen = self._link.seen
         endpoint_s = seen.remaining_s if seen is not None else 0.0
         left = self._time_left(now)
@@ -98,7 +102,7 @@
         return min(left, endpoint_s or left)
 
     def _time_left(self, now: float) -> float:
-        """Return the seconds until this process ends, in whole steps."""
+        """Return seconds until this process shuts down, in whole steps."""
         if not self.leaving:
             return _NEVER
         steps = int((self._drain_until - now) / _TIME_STEP_S)
--- a/src/ferryledge/leases/_agent.py
+++ b/src/ferryledge/leases/_agent.py
@@ -1,8 +1,8 @@
-"""The agent's decisions on leased tasks.
+"""The agent's core: which runs it starts, renews and stops at its endpoint.
 
-The agent is the only process that orders runs at its endpoint. It keeps the
-endpoint's room, renews the endpoint's lease, and stops the runs of an entry
-whose grant has run out.
+An agent is the only process that starts runs at its endpoint. It accounts
+for the endpoint's capacity, renews the endpoint's lease, and stops the runs
+of an entry whose grant has expired.
 """
 
 from ferryledge.leases import _acceptance
@@ -29,14 +29,15 @@
 
 
 class LeaseAgent:
-    """Owns one endpoint.
+    """Manages the runs of one endpoint for several entries.
 
-    :param name: this process
-    :param incarnation: this start of the process
-    :param zone: its availability zone
+    :param name: name of this process
+    :param incarnation: identifies this start of the process
+    :param zone: availability zone of this process
     :param now: monotonic seconds
-    :param timing: the lease rule
-    :param meter: counts its decisions; none is nowhere
+    :param timing: durations of leases and grants; defaults to the standard
+        ones
+    :param meter: counts the decisions; by default they aren't counted
     """
 
     def __init__(
@@ -93,35 +94,35 @@
             now,
         )
         self._now = now
-        #: When to tick for what came since the last tick.
+        #: When the events since the last tick require the next one.
         self._tick_by = _NEVER
 
     @property
     def link(self) -> _endpoint.EndpointLink:
-        """The link to the endpoint."""
+        """What is known of the endpoint and its lease."""
         return self._link
 
     @property
     def runs(self) -> _runs.RunTable:
-        """The runs that the endpoint holds, or may hold."""
+        """The runs that the endpoint executes or may execute."""
         return self._runs
 
     @property
     def slowness(self) -> float:
-        """How many times as long runs take at the endpoint."""
+        """Factor by which runs take longer here than expected."""
         return self._endpoint.speed.slowness
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs here."""
+        """Whether the agent has no runs."""
         return not len(self._runs)
 
     def take_notes(self) -> list[_notes.Note]:
-        """Return what was decided since the last call, for the log."""
+        """Return and clear the notes since the last call, for the log."""
         return self._notes.take()
 
     def hello(self) -> wire.Hello:
-        """Return the greeting for a new stream."""
+        """Return the first message of a new stream."""
         return wire.Hello(
             wire.Role.AGENT,
             self._name,
@@ -132,10 +133,10 @@
             cordons=True,
         )
 
-    # Driving.
+    # Events and ticks.
 
     def receive(self, now: float, event: _agent_events.AgentEvent) -> None:
-        """Take in one event."""
+        """Handle one event; the resulting actions come with a tick."""
         self._now = now
         was_open = self._acceptance.is_open(now)
         speed = self._endpoint.speed.reported
@@ -150,8 +151,7 @@
     def _is_quiet(self, event: _agent_events.AgentEvent) -> bool:
         """Return whether an event needs no tick unless it changed something.
 
-        An agent ticked 11.7 times a run, and does 3.7 times (simulation of a
-        pool at 0.9).
+        These events are frequent, and ticks dominate the agent's CPU time.
         """
         match event:
             case wire.Received(_, wire.GrantLease()):
@@ -220,11 +220,11 @@
         return self._tick_by
 
     def renewal(self, now: float) -> _agent_events.Renewal:
-        """Return what the next call for a renewal is to say."""
+        """Return the arguments of the next renewal call."""
         return self._link.renewal(now)
 
     def _is_busy(self, entry: str) -> bool:
-        """Return whether an entry has runs here, or ends to hear of."""
+        """Return whether an entry has runs here or unconfirmed ends."""
         owner = self._owners.current(entry)
         if owner is None:
             return False
@@ -272,7 +272,7 @@
     def _on_cordons(
         self, owner: _owners.Owner, state: wire.CordonedZones
     ) -> None:
-        """Take in which zones are cordoned, or correct the entry."""
+        """Update the cordoned zones, or send the entry a newer state."""
         if self._cordons.is_behind(state):
             self._send(owner, self._cordons.state)
         if self._cordons.learn(state):
@@ -320,7 +320,7 @@
         order: wire.OrderRuns,
         reason: wire.NotStarted,
     ) -> None:
-        """Turn an order down as a whole."""
+        """Refuse all runs of an order."""
         self._notes.released(now, owner, order, reason)
         self._reports.tell_released(owner, order.job, order.runs, reason)
 
@@ -367,10 +367,10 @@
             row.need = held.need
             self._runs.add(row)
 
-    # Telling entries.
+    # Reports to entries.
 
     def _state(self) -> wire.EndpointState:
-        """Return the endpoint's state, but for what is an entry's own."""
+        """Return the part of the endpoint's state that all entries share."""
         seen = self._link.seen
         if seen is None:
             return wire.EndpointState(home=False)
@@ -392,7 +392,7 @@
 
 
 def _spec_of(order: wire.OrderRuns) -> str | None:
-    """Return what the endpoint is to run; none if it can't be unpacked."""
+    """Return the specification of an order; none if it can't be unpacked."""
     if not order.packed_spec:
         return order.spec
     try:
--- a/src/ferryledge/leases/_agent_events.py
+++ b/src/ferryledge/leases/_agent_events.py
@@ -1,4 +1,4 @@
-"""What happens to an agent of leased tasks, and what it does."""
+"""Events that an agent's core receives and actions that it returns."""
 
 import enum
 
@@ -8,7 +8,10 @@
 
 
 class EndpointSeen(wire.Event, frozen=True):
-    """The endpoint's heartbeat came."""
+    """A heartbeat of the endpoint arrived.
+
+    The agent stores it as JSON for its next start.
+    """
 
     endpoint_id: str
     service: str
@@ -17,24 +20,24 @@
     capacity: wire.Resources
     labels: tuple[str, ...]
     draining: bool
-    #: Seconds until it may be gone; 0 is unlimited.
+    #: Seconds until the endpoint may shut down; 0 is unlimited.
     remaining_s: float
-    #: The endpoint's steady clock.
+    #: The endpoint's monotonic clock in milliseconds.
     clock_ms: int
-    #: Rises with each heartbeat of an incarnation.
+    #: Sequence number within the incarnation.
     number: int
-    #: Unix time of its start in ms; 0 if it doesn't tell.
+    #: Unix time of the endpoint's start in ms; 0 if it isn't reported.
     born_ms: int = 0
-    #: Seconds for which it is still slow from its start.
+    #: Seconds until the endpoint has warmed up after its start.
     cold_s: float = 0.0
 
     @property
     def incarnation(self) -> str:
-        """Which start of the endpoint this is."""
+        """Identifies this start of the endpoint."""
         return _lives.incarnation_of(self.endpoint_id, self.born_ms)
 
     def describes_as(self, other: "EndpointSeen") -> bool:
-        """Return whether both say the same, but for times and numbers."""
+        """Return whether both are equal but for times and numbers."""
         return (
             self.incarnation == other.incarnation
             and self.service == other.service
@@ -45,78 +48,78 @@
 
 
 class EndpointRecalled(wire.Event, frozen=True):
-    """What an earlier start of this agent kept of the endpoint.
+    """The heartbeat that an earlier start of this agent stored was read.
 
-    It may be out of date: the endpoint's next heartbeat replaces it.
+    It may be out of date; the endpoint's next heartbeat replaces it.
     """
 
     seen: EndpointSeen
 
 
 class EndpointLeft(wire.Event, frozen=True):
-    """The endpoint said that it ends now."""
+    """The endpoint announced that it shuts down now."""
 
     endpoint_id: str
-    #: Unix time of its start in ms; 0 if it doesn't tell.
+    #: Unix time of the endpoint's start in ms; 0 if it isn't reported.
     born_ms: int = 0
 
     @property
     def incarnation(self) -> str:
-        """Which start of the endpoint this is."""
+        """Identifies this start of the endpoint."""
         return _lives.incarnation_of(self.endpoint_id, self.born_ms)
 
 
 class ListedRun(wire.Event, frozen=True):
-    """A run that the endpoint lists as alive."""
+    """A run that the endpoint lists as running."""
 
     key: _runs.RunKey
-    #: Share of the work that is done, from 0 to 1.
+    #: Progress from 0 to 1.
     done: float
 
 
 class ListedEnd(wire.Event, frozen=True):
-    """An end that the endpoint lists until it is acknowledged."""
+    """A run's end that the endpoint lists until it is acknowledged."""
 
-    #: Counts the endpoint's ends, from 1.
+    #: Sequence number of the endpoint's ends, from 1.
     number: int
     key: _runs.RunKey
     how: wire.HowEnded
 
 
 class LeaseRenewed(wire.Event, frozen=True):
-    """The endpoint took a renewal and listed what it holds."""
+    """The endpoint accepted a renewal and listed its runs."""
 
     #: When the renewal was sent, in monotonic seconds.
     sent_at: float
-    #: The endpoint's incarnation that was asked; empty is any.
+    #: The incarnation that the call was addressed to; empty is any.
     incarnation: str
     clock_ms: int
     running: tuple[ListedRun, ...]
     ended: tuple[ListedEnd, ...]
     #: Unix time in ms of the start of the endpoint that answered; 0 if it
-    #: doesn't tell.
+    #: isn't reported.
     born_ms: int = 0
 
 
 class CallFault(enum.Enum):
-    """Why a call to the endpoint brought no result."""
+    """Why a call to the endpoint failed."""
 
-    #: No answer: it may have been carried out, or may be later.
+    #: Timed out: the endpoint may have executed the call, or may do so later.
     SILENT = "silent"
-    #: Nothing listens there: the endpoint is down.
+    #: Connection refused: the endpoint is down.
     DOWN = "down"
-    #: The connection broke: the endpoint may have gone.
+    #: The connection broke: the endpoint may be down.
     BROKEN = "broken"
     #: Another incarnation answered.
     REPLACED = "replaced"
-    #: A higher fencing token has been used there.
+    #: The endpoint has seen a higher fencing token.
     FENCED = "fenced"
-    #: The endpoint said that it can't now; nothing was done.
+    #: The endpoint can't execute the call for now, and did nothing.
     UNHEALTHY = "unhealthy"
 
 
 class LeaseNotRenewed(wire.Event, frozen=True):
-    """A renewal brought no list."""
+    """A renewal failed."""
 
     fault: CallFault
     incarnation: str
@@ -125,25 +128,28 @@
 
 
 class StartResult(enum.Enum):
-    """What the endpoint said to an order."""
+    """Result of a call that starts a run."""
 
     STARTED = "started"
+    #: The endpoint has seen a higher fencing token.
     FENCED = "fenced"
-    #: The run's number is not above one that ended here.
+    #: A run of the task with this or a higher number has ended here.
     RUN_NUMBER = "run_number"
+    #: The lease of the call had already expired.
     LATE = "late"
     FULL = "full"
-    #: Rejected for good: the endpoint does not understand the order.
+    #: The endpoint doesn't understand the order; a retry doesn't help.
     REJECTED = "rejected"
     UNHEALTHY = "unhealthy"
+    #: Another incarnation answered.
     REPLACED = "replaced"
     DOWN = "down"
-    #: No answer: it may have started, or may start later.
+    #: Timed out: the run may have started, or may start later.
     SILENT = "silent"
 
 
 class StartAnswered(wire.Event, frozen=True):
-    """The call for a start came back."""
+    """A call that starts a run ended."""
 
     key: _runs.RunKey
     result: StartResult
@@ -152,24 +158,24 @@
 
 
 class StopAnswered(wire.Event, frozen=True):
-    """The call for a stop came back."""
+    """A call that stops a run ended."""
 
     key: _runs.RunKey
-    #: The endpoint's incarnation that was meant.
+    #: The incarnation that the call was addressed to.
     incarnation: str
-    #: Whether the endpoint confirmed it.
+    #: Whether the endpoint confirmed the stop.
     confirmed: bool
 
 
 class AgentDrain(wire.Event, frozen=True):
-    """The agent is to stop: it takes only runs that end before that."""
+    """The agent is to shut down, and accepts only runs that end before."""
 
-    #: When it ends at the latest, in monotonic seconds.
+    #: Latest time of the shutdown, in monotonic seconds.
     until: float
 
 
 class EntriesFound(wire.Event, frozen=True):
-    """Entries are known by their addresses."""
+    """The addresses of entries were read."""
 
     entries: tuple[wire.EntryAddress, ...]
 
@@ -196,7 +202,7 @@
 
 
 class StartRun(wire.Event, frozen=True):
-    """Order the endpoint to start a run."""
+    """Start a run at the endpoint."""
 
     key: _runs.RunKey
     spec: str
@@ -204,61 +210,61 @@
     #: End of the lease on the endpoint's clock.
     lease_until_ms: int
     token: int
-    #: Seconds after which an answer counts as missing.
+    #: Timeout of the call in seconds.
     answer_s: float = 1.0
 
 
 class ListRuns(wire.Event, frozen=True):
-    """Ask the endpoint at once what it runs, beside the usual renewals."""
+    """List the endpoint's runs at once, besides the regular renewals."""
 
     renewal: "Renewal"
 
 
 class StopRun(wire.Event, frozen=True):
-    """Order the endpoint to stop a run."""
+    """Stop a run at the endpoint."""
 
     key: _runs.RunKey
     incarnation: str
     token: int
-    #: Seconds after which an answer counts as missing.
+    #: Timeout of the call in seconds.
     answer_s: float = 1.0
 
 
 class CloseStream(wire.Event, frozen=True):
-    """Break the stream to a peer that is silent."""
+    """Close the stream to an unresponsive peer."""
 
     peer: str
 
 
 class ReopenStream(wire.Event, frozen=True):
-    """Open a new stream beside a silent one, to replace it.
+    """Open a stream to a peer that replaces the unresponsive one.
 
-    Nothing happens if one is being opened already.
+    Nothing happens if a replacement is already being opened.
     """
 
     peer: str
 
 
 class KeepStream(wire.Event, frozen=True):
-    """Give up the stream that is being opened: the old one answers."""
+    """Cancel the replacement of a stream, since the peer answered on it."""
 
     peer: str
 
 
 class DialEntries(wire.Event, frozen=True):
-    """Keep streams to these entries open."""
+    """Open streams to these entries, and reopen them when they break."""
 
     entries: tuple[wire.EntryAddress, ...]
 
 
 class LeaveEntry(wire.Event, frozen=True):
-    """Stop dialling an entry, and close the stream to it."""
+    """Close the stream to an entry, and don't reopen it."""
 
     name: str
 
 
 class RememberEndpoint(wire.Event, frozen=True):
-    """Keep this for the agent's next start."""
+    """Store a heartbeat for the agent's next start."""
 
     seen: EndpointSeen
 
@@ -278,19 +284,19 @@
 
 
 class Renewal(wire.Event, frozen=True):
-    """What the next call for a renewal is to say."""
+    """The arguments of a renewal call."""
 
-    #: The endpoint's incarnation; empty is any.
+    #: The incarnation that the call is addressed to; empty is any.
     incarnation: str
-    #: End of the lease on the endpoint's clock; 0 renews nothing.
+    #: End of the lease on the endpoint's clock; 0 lists the runs only.
     lease_until_ms: int
     token: int
-    #: Ends up to this number are known here.
+    #: Acknowledges the ends up to this number.
     acknowledged: int
-    #: How long the answer may wait for an end, in ms.
+    #: Milliseconds that the endpoint may hold the answer until a run ends.
     wait_ms: int
-    #: Seconds beyond that after which it counts as missing.
+    #: Timeout of the call in seconds, in addition to ``wait_ms``.
     slack_s: float = 0.15
-    #: Seconds until the next one if this one fails; a heartbeat that comes
-    #: before ends the wait.
+    #: Seconds until the next call if this one fails. A heartbeat ends the
+    #: wait early.
     retry_s: float = 0.03
--- a/src/ferryledge/leases/_agent_notes.py
+++ b/src/ferryledge/leases/_agent_notes.py
@@ -1,4 +1,4 @@
-"""An agent's notes: what each says and which inputs it carries."""
+"""The notes that an agent writes to the log and counts in its metrics."""
 
 from ferryledge.leases import _agent_events
 from ferryledge.leases import _dealing
@@ -13,9 +13,9 @@
 
 
 class AgentNotes(_notes.Notes):
-    """What an agent decides about runs, and believes of its endpoint.
+    """Records an agent's decisions about runs and changes of its endpoint.
 
-    :param meter: counts along
+    :param meter: counts what is recorded
     """
 
     def __init__(self, meter: _meters.AgentMeter) -> None:
@@ -23,18 +23,18 @@
         self._meter = meter
 
     def dealt(self, action: _dealing.Action, connected: int) -> None:
-        """The entries that are served change.
+        """Record that the agent changes the entries that it connects to.
 
-        :param action: what is done
-        :param connected: entries with a stream
+        :param action: the change
+        :param connected: how many entries are connected
         """
         match action:
             case _agent_events.DialEntries(entries):
                 self._served("entries chosen", "", connected, entries)
             case _agent_events.SendMessage(peer, _):
-                self._served("entry told that it is left", peer, connected)
+                self._served("disconnect announced to entry", peer, connected)
             case _agent_events.LeaveEntry(name):
-                self._served("entry left", name, connected)
+                self._served("disconnected from entry", name, connected)
 
     def _served(
         self,
@@ -48,13 +48,13 @@
             message,
             peer=peer,
             connected=connected,
-            entries=[one.name for one in entries],
+            entries=[entry.name for entry in entries],
         )
 
     def cordoned(self, state: wire.CordonedZones, own: bool) -> None:
-        """Other zones take no new work than before.
+        """Record a change of the cordoned zones.
 
-        :param state: which
+        :param state: the zones that are cordoned now
         :param own: whether this process is in one of them
         """
         self.add(
@@ -72,11 +72,11 @@
         order: wire.OrderRuns,
         reason: wire.NotStarted,
     ) -> None:
-        """An order was turned down as a whole."""
+        """Record that all runs of an order were refused."""
         self._meter.order(str(reason), len(order.runs))
         self.add(
             outcomes.Step.START,
-            "order released",
+            "order refused",
             order.job,
             owner.name,
             reason=str(reason),
@@ -91,7 +91,14 @@
         free: wire.Resources,
         held: int,
     ) -> None:
-        """An order was taken, as far as there was room."""
+        """Record that an order was accepted, as far as capacity allowed.
+
+        :param owner: the entry that sent it
+        :param order: the order
+        :param full: how many of its runs were refused for lack of capacity
+        :param free: the endpoint's free capacity afterwards
+        :param held: how many runs the agent has afterwards
+        """
         self._meter.order("", len(order.runs) - full)
         if full:
             self._meter.order(str(wire.NotStarted.FULL), full)
@@ -107,7 +114,7 @@
         )
 
     def suspected(self, now: float, owner: _owners.Owner) -> None:
-        """A stream may be silent: a new one is opened beside it."""
+        """Record that a stream is replaced, since no answer came in time."""
         self._meter.suspected()
         self.add(
             outcomes.Step.HEALTH,
@@ -122,11 +129,11 @@
     def grant_ran_out(
         self, now: float, owner: _owners.Owner, row: _runs.RunRow
     ) -> None:
-        """A run is stopped since its entry no longer answers for it."""
+        """Record that a run is stopped, since its entry's grant expired."""
         self._meter.grant_ran_out()
         self.add(
             outcomes.Step.LEASE,
-            "stopped: its entry's grant ran out",
+            "run stopped: its entry's grant expired",
             row.key.job,
             owner.name,
             True,
@@ -134,7 +141,7 @@
         )
 
     def over(self, now: float, row: _runs.RunRow, how: wire.HowEnded) -> None:
-        """A run is over."""
+        """Record that a run ended."""
         self._meter.over(how, now - row.ordered_at)
         self.add(
             outcomes.Step.RUN,
@@ -149,11 +156,11 @@
         )
 
     def unanswered(self, row: _runs.RunRow) -> None:
-        """An order went without an answer and is taken back."""
+        """Record that the endpoint didn't answer a start; the run stops."""
         self._meter.unanswered()
         self.add(
             outcomes.Step.START,
-            "order without an answer: stopping it",
+            "start not answered: stopping the run",
             row.key.job,
             row.owner,
             True,
@@ -162,28 +169,31 @@
         )
 
     def renewed(self, fault: _agent_events.CallFault | None = None) -> None:
-        """The endpoint's lease was renewed, or not."""
+        """Count a renewal of the endpoint's lease.
+
+        :param fault: why it failed; none if it succeeded
+        """
         self._meter.renewed(str(fault.value) if fault else "")
 
     def back(self, away_s: float, steady: float) -> None:
-        """The endpoint is back after an outage that was not announced.
+        """Record that the endpoint returned from an unannounced outage.
 
-        :param away_s: seconds for which it was away
-        :param steady: share of its room that is used for now
+        :param away_s: duration of the outage in seconds
+        :param steady: share of its capacity that is used for now
         """
         self._meter.outage()
         self.add(
             outcomes.Step.HEALTH,
-            "endpoint back",
+            "endpoint back after an outage",
             away_s=round(away_s, 3),
             steady=steady,
         )
 
     def recalled(self, seen: _agent_events.EndpointSeen) -> None:
-        """What an earlier start kept of the endpoint is used for now."""
+        """Record that the stored heartbeat of the endpoint is used."""
         self.add(
             outcomes.Step.HEALTH,
-            "endpoint recalled",
+            "endpoint restored from the store",
             peer=seen.incarnation,
             capacity_cpu_millis=seen.capacity.cpu_millis,
             draining=seen.draining,
@@ -194,15 +204,15 @@
         known: _agent_events.EndpointSeen | None,
         event: _agent_events.EndpointSeen,
     ) -> None:
-        """A heartbeat is not believed, or not yet.
+        """Record that a heartbeat was ignored, at least for now.
 
-        :param known: the heartbeat that counts; none if there is none
-        :param event: the one that came
+        :param known: the current heartbeat, if there is one
+        :param event: the ignored one
         """
         self._meter.heartbeat_passed_over()
         self.add(
             outcomes.Step.HEALTH,
-            "heartbeat passed over",
+            "heartbeat ignored",
             peer=event.incarnation,
             urgent=event.draining,
             number=event.number,
@@ -218,7 +228,11 @@
         known: _agent_events.EndpointSeen | None,
         event: _agent_events.EndpointSeen,
     ) -> None:
-        """The endpoint is another, or began to drain."""
+        """Record a new incarnation of the endpoint or a start of draining.
+
+        :param known: the previous heartbeat, if there is one
+        :param event: the current one
+        """
         if known is not None and (known.incarnation, known.draining) == (
             event.incarnation,
             event.draining,
@@ -226,7 +240,7 @@
             return
         self.add(
             outcomes.Step.HEALTH,
-            "endpoint draining" if event.draining else "endpoint seen",
+            "endpoint draining" if event.draining else "endpoint detected",
             peer=event.incarnation,
             capacity_cpu_millis=event.capacity.cpu_millis,
             remaining_s=event.remaining_s,
--- a/src/ferryledge/leases/_asking.py
+++ b/src/ferryledge/leases/_asking.py
@@ -1,4 +1,4 @@
-"""When an agent asks entries for the right to renew their runs."""
+"""Requests grants from entries and closes unresponsive streams."""
 
 from collections import abc
 
@@ -11,12 +11,12 @@
 
 
 class Asking:
-    """Asks each entry when that is due, and gives up silent streams.
+    """Sends each entry a request for a grant when one is due.
 
-    :param owners: the entries
-    :param runs: what the endpoint holds
-    :param watch: looks for streams that owe an answer
-    :param act: takes what is to be done
+    :param owners: the entries and their grants
+    :param runs: the runs at the endpoint
+    :param watch: detects streams with overdue answers
+    :param act: receives the actions
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self._act = act
 
     def tick(self, now: float) -> None:
-        """Send the asks that are due."""
+        """Send the requests that are due."""
         if now >= self._owners.ask_due_at:
             for owner in self._owners.connected:
                 if now >= owner.next_ask_at:
