--- a/src/ferryledge/leases/_endpoint.py
+++ b/src/ferryledge/leases/_endpoint.py
@@ -1,4 +1,4 @@
-"""What an agent knows of its endpoint: its clock, its lease, its health."""
+"""Tracks an endpoint's incarnation, clock, lease and reachability."""
 
 import enum
 
@@ -7,86 +7,86 @@
 from ferryledge.leases import _lives
 from ferryledge.leases import _timing
 
-#: Longest that a renewal's answer may wait for an end, in ms. Short enough
-#: for several renewals within a lease.
+#: Milliseconds that the endpoint may hold the answer to a renewal until a run
+#: ends. Short enough for several renewals within a lease.
 _WAIT_MS = 120
-#: Bounds in seconds on what an answer may take beside its wait. An end is
-#: learned that much later when the connection has gone silent.
+#: Bounds in seconds of a renewal's timeout beyond that. A run's end is
+#: learned that much later if the connection stalls.
 _LONGEST_SLACK_S = 0.15
 _SHORTEST_SLACK_S = 0.04
-#: Seconds after a renewal that failed, and the most of them: where nothing
-#: listens each call is a new connection, and they come at growing distance.
+#: First and longest backoff in seconds after a renewal whose connection was
+#: refused; each such renewal opens a new connection.
 _RETRY_S = 0.03
 _LONGEST_RETRY_S = 0.25
-#: Without a renewal for this share of a lease nothing new is started.
+#: No runs are started after this share of a lease without a renewal.
 _FRESH_SHARE = 0.6
 _MARGIN_S = 0.05
-#: Replaced incarnations that are remembered beside the last one: a held-up
-#: heartbeat is some seconds old, and a restart takes longer than one.
+#: Replaced incarnations that are kept besides the last one, to ignore their
+#: delayed heartbeats.
 _REPLACED_KEPT = 15
-#: Faults after which another start may answer the next call.
+#: Faults after which another incarnation may answer the next call.
 _GONE = (_agent_events.CallFault.DOWN, _agent_events.CallFault.BROKEN)
 
 
 class Change(enum.Enum):
-    """Whether the endpoint is another incarnation than before."""
+    """Whether and how the endpoint's incarnation changed."""
 
     NONE = "none"
-    #: It has another id and refuses calls for the one before.
+    #: The new one has another id and refuses calls to its predecessor.
     REPLACED = "replaced"
-    #: It started again under its id and takes calls for the start before.
+    #: The new one has the same id and accepts calls to its predecessor.
     RESTARTED = "restarted"
 
 
 class EndpointLink:
-    """The state of the link between an agent and its endpoint.
+    """What an agent knows of its endpoint, and the lease that it renews.
 
-    :param timing: the lease rule
+    :param timing: durations of leases and grants
     :param now: monotonic seconds
     """
 
     def __init__(self, timing: _timing.LeaseTiming, now: float) -> None:
         self._timing = timing
-        #: The last heartbeat of the incarnation that is known.
+        #: The last heartbeat of the current incarnation.
         self.seen: _agent_events.EndpointSeen | None = None
-        #: Whether what runs there is known.
+        #: Whether the current incarnation has listed its runs.
         self.synced = False
-        #: Ends up to this number have been taken in.
+        #: Number of the last end that was processed.
         self.acknowledged = 0
         self._clock_ms = 0
         self._clock_at = now
         self._token = 0
         self._renewed_at = float("-inf")
-        #: Until when it is slow from its start.
+        #: When the endpoint has warmed up after its start.
         self._warm_at = float("-inf")
         self._answer_times = _answer_times.AnswerTimes(
             _LONGEST_SLACK_S, _SHORTEST_SLACK_S
         )
+        #: When the last lease was sent.
         self._leased_at = now
-        #: Why the last renewal brought no list; none if it brought one.
+        #: Why the last renewal failed; none if it succeeded.
         self._fault: _agent_events.CallFault | None = None
         #: Seconds to wait after the next renewal if it fails too.
         self._retry_s = _RETRY_S
-        #: The incarnation that calls are meant for, and the last such.
+        #: The current incarnation, if any, and the last known one.
         self._incarnation = ""
         self._last = ""
-        #: The incarnation that said its last word here.
+        #: The last incarnation that announced its shutdown.
         self._left = ""
-        #: Another incarnation that was heard of while one was known, and
-        #: when.
+        #: Latest heartbeat of a possible successor, and when its first came.
         self._candidate: _agent_events.EndpointSeen | None = None
         self._candidate_at = now
-        #: Incarnations that are known to have been replaced.
+        #: Incarnations that have been replaced.
         self._replaced: list[str] = []
 
     @property
     def incarnation(self) -> str:
-        """The endpoint's incarnation; empty while none is known."""
+        """The endpoint's current incarnation; empty while none is known."""
         return self._incarnation
 
     @property
     def is_down(self) -> bool:
-        """Whether the endpoint seemed gone when it was called last."""
+        """Whether the last renewal failed as if the endpoint were down."""
         return self._fault in _GONE
 
     @property
@@ -95,16 +95,16 @@
         return self._token
 
     def clock_ms(self, now: float) -> int:
-        """Return the endpoint's clock, never ahead of it."""
+        """Return a lower bound of the endpoint's clock."""
         passed = (now - self._clock_at) * (1.0 - _timing.CLOCK_DRIFT)
         return self._clock_ms + int(passed * 1000.0)
 
     def note_clock(self, clock_ms: int, now: float) -> None:
-        """Take in a reading of the endpoint's clock."""
+        """Update the estimate of the endpoint's clock by a reading."""
         if clock_ms <= 0:
             return
-        # The machine may have been suspended with its endpoint: what is known
-        # of its clock is ahead then, and leases would be too long.
+        # An old estimate may be ahead of the clock, if endpoint and machine
+        # were suspended. Leases by it would be too long.
         is_old = now - self._clock_at > self._timing.lease_s
         if is_old or clock_ms > self.clock_ms(now) or not self._clock_ms:
             self._clock_ms = clock_ms
@@ -113,23 +113,23 @@
             self._token = clock_ms
 
     def raise_token(self, clock_ms: int, now: float) -> None:
-        """Take a higher token after another agent's was seen there.
+        """Raise the fencing token after the endpoint has seen a higher one.
 
-        That may be far above the clock, if the endpoint started again while
-        the other agent went on: doubling gets above it in a few calls.
+        That token may be far above the clock if the endpoint restarted with
+        a lower clock. Doubling exceeds it within a few calls.
         """
         self.note_clock(clock_ms, now)
         self._token = max(2 * self._token, self.clock_ms(now))
 
     def see(self, seen: _agent_events.EndpointSeen, now: float) -> Change:
-        """Take in a heartbeat.
+        """Process a heartbeat.
 
-        One of another incarnation than the known one may be of its
-        successor, or a late one of its predecessor. The endpoint tells
-        which: its next answer is the known one's, or refutes it. Numbers
-        are compared within an incarnation alone, each counts from 1.
+        A heartbeat of another incarnation than the current one is either of
+        its successor or a delayed one of its predecessor. It becomes the
+        candidate, and the endpoint's next answer decides. Sequence numbers
+        are compared within an incarnation only, since each starts at 1.
 
-        :return: whether the endpoint is another than before
+        :return: whether the incarnation changed
         """
         if self._is_gone(seen.incarnation):
             return Change.NONE
@@ -147,9 +147,9 @@
         self.note_clock(seen.clock_ms, now)
 
     def recall(self, seen: _agent_events.EndpointSeen, now: float) -> bool:
-        """Take in what was kept; a heartbeat that came first goes before.
+        """Use a stored heartbeat, unless a newer one has come already.
 
-        :return: whether it was taken in
+        :return: whether it is used
         """
         if self._is_gone(seen.incarnation):
             return False
@@ -162,9 +162,11 @@
         return True
 
     def refute(self, now: float) -> Change:
-        """Note that an endpoint with another id answered.
+        """Drop the current incarnation, since another id answered.
 
-        :return: whether what is known here was true of the one before
+        The candidate succeeds it, unless both have the same id.
+
+        :return: how the incarnation changed
         """
         refuted = self._incarnation
         if not refuted:
@@ -181,11 +183,12 @@
         return Change.REPLACED
 
     def answered(self, born_ms: int, now: float) -> Change:
-        """Note when the endpoint that listed what it runs was started.
+        """Process the start time in an endpoint's answer.
 
-        :param born_ms: Unix time in ms; 0 if it doesn't tell
+        :param born_ms: Unix time in ms of the start of the endpoint that
+            answered; 0 if it isn't reported
         :param now: monotonic seconds
-        :return: whether it started again since the last list
+        :return: whether the endpoint restarted since the last answer
         """
         if not self._incarnation or not born_ms:
             return Change.NONE
@@ -200,9 +203,9 @@
         return self._succeed(answered_as)
 
     def give_way(self, now: float) -> Change:
-        """Let a successor take over from an incarnation that is silent.
+        """Replace an unresponsive incarnation by the candidate, if any.
 
-        :return: whether it did
+        :return: how the incarnation changed
         """
         waited = now - self._candidate_at > self._timing.lease_s
         if not waited or not self.is_dark(now):
@@ -225,7 +228,7 @@
         self._candidate = seen
 
     def _pop_candidate(self) -> _agent_events.EndpointSeen | None:
-        """Return the proposed successor, if any, and forget it."""
+        """Return the candidate, if any, and clear it."""
         candidate = self._candidate
         self._candidate = None
         return candidate
@@ -236,7 +239,7 @@
         return change
 
     def _succeed(self, incarnation: str) -> Change:
-        """Let an incarnation take the place of the last one."""
+        """Make an incarnation the current one."""
         last = self._last
         if self._incarnation:
             self._note_replaced(self._incarnation)
@@ -246,15 +249,16 @@
         if not _share_id(last, incarnation):
             self._start_anew()
             return Change.REPLACED
-        # It takes calls for the start before, also late ones: a higher token
-        # keeps out their orders, and the ends that they confirm.
+        # The new one accepts delayed calls that were meant for the old one.
+        # A higher fencing token makes it refuse their starts and
+        # acknowledgements.
         token = self._token
         self._start_anew()
         self._token = token + 1 if token else 0
         return Change.RESTARTED
 
     def _start_anew(self) -> None:
-        """Forget what was true of the incarnation before."""
+        """Reset what is known of the previous incarnation."""
         self.acknowledged = 0
         self.synced = False
         self._clock_ms = 0
@@ -263,9 +267,9 @@
         self._warm_at = float("-inf")
 
     def leave(self, incarnation: str) -> bool:
-        """Take in the endpoint's last word.
+        """Process the announcement that an incarnation shuts down.
 
-        :return: whether it is the incarnation known here
+        :return: whether it was the current one
         """
         if self._incarnation != incarnation:
             return False
@@ -275,18 +279,21 @@
         return True
 
     def lease_until_ms(self, now: float) -> int:
-        """Return the end of a lease that is sent now."""
+        """Return the end of a lease that is sent now.
+
+        It is a time of the endpoint's clock.
+        """
         self._leased_at = now
         return self.clock_ms(now) + int(self._timing.lease_s * 1000.0)
 
     def renewal(self, now: float) -> _agent_events.Renewal:
-        """Return what the next renewal is to say."""
+        """Return the arguments of the next renewal call."""
         lease_until_ms = 0
         is_sure = self.synced and not self.is_down
         if self._token and is_sure and not self.is_dark(now):
             lease_until_ms = self.lease_until_ms(now)
-        # Another start may answer, with ends that bear the same numbers:
-        # confirmed unseen they would be lost, and their tasks run twice.
+        # Another incarnation may answer, whose ends have the same numbers.
+        # Acknowledged unread they would be lost, and their tasks run twice.
         is_known = self._fault is None and self.is_fresh(now)
         return _agent_events.Renewal(
             self.incarnation,
@@ -299,7 +306,7 @@
         )
 
     def failed(self, fault: _agent_events.CallFault) -> None:
-        """Note that a renewal brought no list."""
+        """Record that a renewal failed."""
         self._fault = fault
         if fault is _agent_events.CallFault.DOWN:
             self._retry_s = min(_LONGEST_RETRY_S, 2.0 * self._retry_s)
@@ -307,44 +314,46 @@
             self._retry_s = _RETRY_S
 
     def renewed(self, sent_at: float, now: float) -> None:
-        """Note that the endpoint took a renewal sent at that time."""
+        """Record a successful renewal that was sent at ``sent_at``."""
         beyond_s = now - sent_at - _WAIT_MS / 1000.0
         if beyond_s > 0.0:
-            # One that came sooner brought an end, and tells nothing here.
+            # An earlier answer was sent because a run ended, so it says
+            # nothing about the latency.
             self._answer_times.note(beyond_s)
         self._renewed_at = max(self._renewed_at, sent_at)
         self._fault = None
         self._retry_s = _RETRY_S
         candidate = self._candidate
         if candidate is not None and sent_at > self._candidate_at:
-            # The known incarnation answers still: the other came before it.
+            # The current incarnation still answers, so the candidate is a
+            # predecessor.
             self._note_replaced(candidate.incarnation)
             self._candidate = None
 
     def is_cold(self, now: float) -> bool:
-        """Return whether the endpoint is still slow from its start."""
+        """Return whether the endpoint is still warming up."""
         return now < self._warm_at
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether the endpoint answered lately."""
+        """Return whether a renewal succeeded recently."""
         lately = _FRESH_SHARE * self._timing.lease_s
         return now - self._renewed_at < lately
 
     def is_dark(self, now: float) -> bool:
-        """Return whether renewals failed for a whole lease."""
+        """Return whether no renewal succeeded for the time of a lease."""
         return now - self._renewed_at > self._timing.lease_s
 
     def is_over(self, now: float) -> bool:
-        """Return whether all that ran there must have lapsed.
+        """Return whether all leases on runs have expired.
 
-        While the endpoint is dark no lease is sent, so the last one that
-        may have arrived bounds them all.
+        No lease is sent while the endpoint is unresponsive, so the last one
+        sent expires last.
         """
         lease_s = self._timing.lease_s * (1.0 + _timing.CLOCK_DRIFT)
         last = self._leased_at + lease_s + _MARGIN_S
         return self.is_dark(now) and now > last
 
 
-def _share_id(one: str, other: str) -> bool:
-    """Return whether two incarnations take the same calls."""
-    return _lives.endpoint_id_of(one) == _lives.endpoint_id_of(other)
+def _share_id(first: str, second: str) -> bool:
+    """Return whether two incarnations have the same endpoint id."""
+    return _lives.endpoint_id_of(first) == _lives.endpoint_id_of(second)
--- a/src/ferryledge/leases/_endpoint_watch.py
+++ b/src/ferryledge/leases/_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Follows an endpoint: which start it is, what it runs, how runs end."""
+"""Processes an endpoint's heartbeats and answers, and reports ended runs."""
 
 from collections import abc
 
@@ -16,6 +16,7 @@
 from ferryledge import wire
 
 Act = abc.Callable[[_agent_events.AgentAction], None]
+#: Reason that an entry gets for a run that the endpoint didn't start.
 _RELEASES = {
     _agent_events.StartResult.FENCED: wire.NotStarted.REJECTED,
     _agent_events.StartResult.RUN_NUMBER: wire.NotStarted.RUN_NUMBER,
@@ -27,21 +28,23 @@
     _agent_events.StartResult.DOWN: wire.NotStarted.ENDPOINT,
 }
 
-#: Ends that say whether an endpoint does what it is asked.
+#: Ends that count for an endpoint's failure rate.
 _SPEAKS = (wire.HowEnded.DONE, wire.HowEnded.FAILED)
 
 
 class EndpointWatch:
-    """Takes in what the endpoint says and tells entries what ended.
+    """Keeps the agent's runs consistent with the endpoint.
 
-    :param runs: what the endpoint holds
-    :param link: the link to the endpoint
-    :param owners: the entries
+    Runs that the endpoint has ended or lost are reported to their entries.
+
+    :param runs: the runs at the endpoint
+    :param link: what is known of the endpoint and its lease
+    :param owners: the entries and their grants
     :param stopping: stops runs
-    :param reports: tells entries of ends
-    :param notes: what is decided
-    :param answer_times: how long answers to orders take
-    :param act: takes what is to be done
+    :param reports: sends reports to entries
+    :param notes: records decisions for the log
+    :param answer_times: latency of calls that start runs
+    :param act: receives the actions
     :param now: monotonic seconds
     """
 
@@ -65,23 +68,24 @@
         self._notes = notes
         self._answer_times = answer_times
         self._act = act
-        #: How fast the endpoint works.
+        #: Estimate of the endpoint's speed.
         self.speed = _speed.EndpointSpeed()
-        #: What ends say of it, by the callers' zones.
+        #: The endpoint's failure rates by the callers' zones.
         self.evidence = _evidence.Evidence()
-        #: How often it went down.
+        #: The endpoint's recent outages.
         self.outages = _evidence.Outages()
-        #: Since when runs wait to be claimed.
+        #: Since when there are runs that no entry has claimed.
         self.unclaimed_since = now
-        #: Whether the endpoint announced its end.
+        #: Whether the endpoint announced its shutdown.
         self._announced = False
-        #: The endpoint's clock as of the newest list of runs.
+        #: The endpoint's clock in the latest list of runs.
         self._listed_clock_ms = 0
-        #: What was kept of the endpoint last, for this agent's next start.
+        #: The heartbeat that was last stored for this agent's next start, or
+        #: a later one without changes.
         self._kept: _agent_events.EndpointSeen | None = None
 
     def receive(self, now: float, event: _agent_events.AgentEvent) -> None:
-        """Take in what the endpoint said, or did not say."""
+        """Process a heartbeat, an answer or a failed call."""
         match event:
             case _agent_events.EndpointSeen():
                 self._on_seen(now, event)
@@ -113,13 +117,13 @@
             self._keep_endpoint()
 
     def _note_endpoint(self, known: _agent_events.EndpointSeen | None) -> None:
-        """Log what the endpoint is now, if that changed."""
+        """Log the current heartbeat if it is another than before."""
         seen = self._link.seen
         if seen is not None and seen is not known:
             self._notes.seen(known, seen)
 
     def _keep_endpoint(self) -> None:
-        """Keep what the endpoint is, now that it answered as that."""
+        """Store the current heartbeat if it differs from the stored one."""
         seen = self._link.seen
         if seen is None or seen is self._kept:
             return
@@ -128,7 +132,7 @@
         self._kept = seen
 
     def _follow(self, now: float, change: _endpoint.Change) -> None:
-        """Start anew if the endpoint is another, which runs nothing yet."""
+        """Drop the runs and statistics of a replaced incarnation."""
         match change:
             case _endpoint.Change.NONE:
                 return
@@ -143,9 +147,10 @@
             self.outages.note_down(now, started_anew=True)
 
     def _lose_listed(self, now: float) -> None:
-        """Take for lost what the start before is known to have had.
+        """End the runs as lost that the previous incarnation has listed.
 
-        An order that it may not have had may still be carried out now.
+        The others may not have started yet, and the new incarnation may
+        still execute their delayed start calls. They are stopped.
         """
         crashed_jobs = self._crashed_jobs()
         for row in self._runs:
@@ -155,7 +160,7 @@
                 self._stopping.stop_anew(now, row)
 
     def check(self, now: float) -> None:
-        """Take for over what must be, by time; to be called in each tick."""
+        """Apply timeouts; to be called in each tick."""
         known = self._link.seen
         change = self._link.give_way(now)
         if change is not _endpoint.Change.NONE:
@@ -173,7 +178,7 @@
             self._reports.tell_end(now, row, how, crashed_jobs)
 
     def _crashed_jobs(self) -> int:
-        """Return how many jobs lose runs; none if that was announced."""
+        """Return how many jobs have runs; 0 after an announced shutdown."""
         if self._announced:
             return 0
         return len({row.key.job for row in self._runs})
@@ -239,8 +244,8 @@
             if row.pace is not None:
                 row.pace.sample(now, run.done)
         if event.clock_ms > self._listed_clock_ms:
-            # An older list may come later, on another connection, and name
-            # runs whose end was taken in since.
+            # An older list may come later on another connection, and have
+            # runs whose end was processed since.
             self._listed_clock_ms = event.clock_ms
             for key in listed:
                 self._adopt(now, key)
@@ -289,13 +294,13 @@
             self.evidence.note_end(now, owner.zone, row.key.job, ok)
 
     def _note_back(self, now: float) -> None:
-        """Count an outage that is over."""
+        """Record the end of an outage, if there was one."""
         away_s = self.outages.note_back(now)
         if away_s is not None:
             self._notes.back(away_s, self.outages.steady(now))
 
     def _adopt(self, now: float, key: _runs.RunKey) -> None:
-        """Keep a run that this incarnation of the agent did not order."""
+        """Add a run that an earlier incarnation of the agent started."""
         row = _runs.RunRow(
             key, "", wire.Resources(), _runs.RunState.RUNNING, now
         )
--- a/src/ferryledge/leases/_listing.py
+++ b/src/ferryledge/leases/_listing.py
@@ -1,4 +1,4 @@
-"""When a run that the endpoint does not list is over."""
+"""Decides which runs have ended that the endpoint doesn't list."""
 
 from ferryledge.leases import _agent_events
 from ferryledge.leases import _runs
@@ -11,8 +11,8 @@
 ) -> wire.HowEnded | None:
     """Return how an unlisted run ended; none if it may still start.
 
-    :param row: a run that the listing is without
-    :param listing: what the endpoint listed
+    :param row: a run that isn't in the listing
+    :param listing: the endpoint's answer to a renewal
     """
     match row.state:
         case _runs.RunState.RUNNING if _was_confirmed(row, listing):
@@ -25,7 +25,7 @@
 def _was_confirmed(
     row: _runs.RunRow, listing: _agent_events.LeaseRenewed
 ) -> bool:
-    """Return whether the endpoint confirmed a run before it listed."""
+    """Return whether a run's start was confirmed before the listing."""
     return row.confirmed_at is None or row.confirmed_at < listing.sent_at
 
 
@@ -33,11 +33,11 @@
     row: _runs.RunRow,
     listing: _agent_events.LeaseRenewed,
 ) -> bool:
-    """Return whether a stopped run's order would be refused by now.
+    """Return whether the endpoint would refuse a late start of the run.
 
-    Either a stop was confirmed before the list was asked for: the endpoint
-    refuses that run from then on, and what it still ends is listed. Or the
-    lease that came with the order has passed.
+    It does once it has confirmed the run's stop, and after the lease that
+    the start carried has expired. A stop that was confirmed before the
+    listing was requested is reflected in it.
     """
     stopped = row.stop_confirmed_at
     refused = stopped is not None and stopped <= listing.sent_at
