--- a/src/ferryledge/leases/_crashes.py
+++ b/src/ferryledge/leases/_crashes.py
@@ -1,63 +1,62 @@
-"""Whether endpoints crash by a task or for reasons of their own.
+"""Detects tasks that crash the endpoints on which they run.
 
-It answers a task that takes down each endpoint that starts it, which would go
-from one to the next. Two endpoints that crashed while only its job ran there
-are enough to give it up. Jobs that ran beside each other share the blame; and
-where other endpoints crashed in the same second that had nothing of the job,
-power is the likelier cause. Then only many crashes count.
+Such a task would crash one endpoint after the other. It fails after two
+endpoints crashed on which only its job ran. Several jobs on a crashed
+endpoint share the blame. Crashes at the same time as those of endpoints
+without the job have another likely cause, such as a power failure, and only
+count towards a higher limit.
 """
 
 from collections import abc
 
 import msgspec
 
-#: Crashes of endpoints within so many seconds may have a common cause:
-#: agents notice one within a lease and report it at once.
+#: Crashes within this many seconds may have a common cause. Agents detect a
+#: crash within a lease and report it at once.
 _COMMON_S = 1.0
-#: Blame at which a task is given up, of at most 1 for each endpoint: two that
-#: crashed while nothing else ran there are seldom chance.
+#: Sum of blame at which a task fails; each endpoint adds at most 1.
 _MOST_BLAME = 2.0
-#: Crashes under it for whatever cause after which it is, also of one endpoint
-#: again and again: there may be no other left.
+#: Crashes after which a task fails whatever their cause, also if they are
+#: all of one endpoint.
 _MOST = 5
-#: Seconds for which crashes are remembered: longer than jobs run.
+#: Seconds for which crashes are kept; most jobs take less.
 _REMEMBER_S = 60.0
 
 
 class Crash(msgspec.Struct, frozen=True):
-    """An endpoint that crashed while a task ran there."""
+    """A crash of an endpoint while a task ran there."""
 
     at: float
-    #: The agent beside it.
+    #: The endpoint's agent.
     agent: str
-    #: Jobs that lost runs by it, whoever ordered them.
+    #: Number of jobs that lost runs, whichever entry ordered them.
     jobs: int
 
 
 class _Record(msgspec.Struct):
-    """A crash with the jobs that lost runs by it."""
+    """A crash and the jobs of this entry that lost runs by it."""
 
     crash: Crash
     jobs: set[str]
 
 
 class CrashWatch:
-    """Remembers which endpoints crashed lately, and under which jobs."""
+    """Records recent crashes of endpoints and the jobs that ran there."""
 
     def __init__(self) -> None:
         self._records: list[_Record] = []
 
     def note(self, now: float, agent: str, job: str, jobs: int) -> Crash:
-        """Take in that a run of a job was lost with its endpoint.
+        """Record that a run was lost in a crash of its endpoint.
 
         :param now: monotonic seconds
-        :param agent: the one beside the endpoint
-        :param job: whose run was lost
-        :param jobs: how many lost runs there
-        :return: the crash; the same one for all runs that it took
+        :param agent: the endpoint's agent
+        :param job: the run's job
+        :param jobs: how many jobs lost runs there
+        :return: the crash, the same object for all runs that it ended
         """
         self._records = [
-            one for one in self._records if now - one.crash.at < _REMEMBER_S
+            kept for kept in self._records if now - kept.crash.at < _REMEMBER_S
         ]
         for record in self._records:
             same = record.crash.agent == agent
@@ -69,10 +68,10 @@
         return record.crash
 
     def is_deadly(self, job: str, crashes: abc.Collection[Crash]) -> bool:
-        """Return whether a task is to be given up.
+        """Return whether a task is to fail, since it crashes endpoints.
 
-        :param job: the task's
-        :param crashes: those that took its runs
+        :param job: the task's job
+        :param crashes: the crashes that ended its runs
         """
         blame = {
             crash.agent: 1.0 / crash.jobs
@@ -82,7 +81,10 @@
         return sum(blame.values()) >= _MOST_BLAME or len(crashes) >= _MOST
 
     def _is_common(self, job: str, crash: Crash) -> bool:
-        """Return whether endpoints without the job crashed at that time."""
+        """Return whether endpoints without the job crashed at that time.
+
+        Then the job is unlikely to be the cause.
+        """
         return any(
             record.crash.agent != crash.agent
             and abs(record.crash.at - crash.at) < _COMMON_S
--- a/src/ferryledge/leases/_dealing.py
+++ b/src/ferryledge/leases/_dealing.py
@@ -1,9 +1,9 @@
-"""Which entries an agent keeps streams to.
+"""Selects the entries to which an agent keeps streams.
 
-Few of them: what a stream costs at rest, signs of life and reports of room,
-would otherwise grow with entries times agents. Agents rank the entries by
-rendezvous hashing, so each entry gets nearly the same part of the pool and a
-lost or new entry moves only its own agents.
+An agent connects to a few entries only, since the cost of idle streams would
+otherwise grow with the product of entries and agents. Agents rank the
+entries by rendezvous hashing: each entry gets nearly the same share of the
+agents, and a lost or new entry changes the streams of few agents only.
 """
 
 from collections import abc
@@ -15,33 +15,33 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Entries that an agent serves. With 12 entries and 67 agents at 1.2 times
-#: the pool, jobs at random entries, 0.92 of the jobs were in time with 4, 0.90
-#: with 6 and 0.86 with all 12 (simulation): fewer race for the same room.
+#: How many entries an agent serves. With fewer entries per agent, fewer
+#: compete for the same capacity.
 STREAMS = _states.HOMES
-#: Seconds without a stream after which another entry is dialled beside one:
-#: a process that was killed is back sooner.
+#: Seconds without a stream after which a substitute for an entry is dialled.
+#: A restart of the entry's process takes less.
 _LOST_S = 1.5
-#: The same while no entry at all is connected.
+#: The same while no entry is connected.
 _ALONE_S = 0.4
-#: Most entries that are dialled while few can be reached. More would all get
-#: streams when power comes back, and give most of them up again.
+#: Most entries that are dialled while few are reachable. More would cause
+#: excess streams once all are reachable again.
 _MOST = 2 * STREAMS
-#: Seconds without any entry after which all are dialled.
+#: Seconds without any stream after which all entries are dialled.
 _DESPERATE_S = 4.0
-#: Seconds without a stream after which an entry is taken for gone for good,
-#: and how long until it is tried again: addresses of machines that were
-#: replaced stay known, and would be dialled and counted for ever.
+#: Seconds without a stream after which an entry isn't dialled any more, and
+#: seconds until it is tried again. The addresses of replaced machines stay
+#: known and would be dialled forever.
 _GONE_S = 20.0
 _TRY_AGAIN_S = 60.0
-#: Seconds for which an agent that was invited stays without runs.
+#: Seconds for which an agent serves an entry that invited it, without orders.
 _GUEST_S = 10.0
-#: Seconds for which all chosen entries are connected before others are left.
+#: Seconds for which all chosen entries must be connected before streams to
+#: others are closed.
 _SETTLE_S = 3.0
-#: Seconds from telling an entry until its stream is closed: an order that is
-#: under way would be in doubt for longer than any lease.
+#: Seconds from the announcement to an entry until its stream is closed, so
+#: that orders in flight still arrive.
 _FAREWELL_S = 0.5
-#: Seconds between looks while streams are missing or to be left.
+#: Seconds between checks while streams are to be opened or closed.
 _LOOK_S = 0.2
 _NEVER = float("inf")
 
@@ -53,23 +53,23 @@
 
 
 class _Known(msgspec.Struct):
-    """An entry that the agent knows the address of."""
+    """An entry whose address is known."""
 
     address: wire.EntryAddress
     connected: bool = False
     dialled: bool = False
-    #: When it was connected last, or dialled first.
+    #: When it was last connected, or first dialled.
     seen_at: float = 0.0
-    #: Until when it is served on another entry's word.
+    #: Until when it is served since it invited the agent.
     guest_until: float = -_NEVER
-    #: Until when it is taken for gone.
+    #: Until when it isn't dialled, since it was unreachable for long.
     gone_until: float = -_NEVER
 
 
 class Dealing:
-    """Chooses the entries that an agent serves.
+    """Chooses the entries that an agent serves, and opens or closes streams.
 
-    :param name: the agent
+    :param name: the agent's name
     """
 
     def __init__(self, name: str) -> None:
@@ -77,19 +77,21 @@
         self._known: dict[str, _Known] = {}
         #: Names of the known entries, best first.
         self._ranked: list[str] = []
-        #: Open streams, also to entries whose address is not known.
+        #: Connected entries, also those whose address isn't known.
         self._connected: set[str] = set()
+        #: Since when no entry is connected.
         self._alone_since = 0.0
+        #: Since when all chosen entries are connected.
         self._settled_since: float | None = None
-        #: Entries that were told that they are left, with when.
+        #: When the closing of a stream was announced, by the entry's name.
         self._leaving: dict[str, float] = {}
-        #: When to look next.
+        #: When :meth:`plan` is due next.
         self.due_at = _NEVER
 
     def learn(
         self, now: float, entries: abc.Iterable[wire.EntryAddress]
     ) -> None:
-        """Take in addresses; a changed one is dialled anew."""
+        """Add addresses of entries; a changed one is dialled again."""
         for address in entries:
             known = self._known.get(address.name)
             if known is not None and known.address == address:
@@ -100,7 +102,7 @@
         self.due_at = now
 
     def hear(self, now: float, message: wire.EntryList | wire.Invite) -> None:
-        """Take in what an entry says of entries."""
+        """Handle a message of an entry about entries."""
         match message:
             case wire.EntryList(entries):
                 self.learn(now, entries)
@@ -108,7 +110,7 @@
                 self._invite(now, entry)
 
     def _invite(self, now: float, address: wire.EntryAddress) -> None:
-        """Serve an entry that seeks agents, beside the others."""
+        """Serve an entry that looks for agents, besides the chosen ones."""
         self.learn(now, (address,))
         known = self._known[address.name]
         known.guest_until = now + _GUEST_S
@@ -116,13 +118,13 @@
         self.due_at = now
 
     def note_order(self, now: float, name: str) -> None:
-        """Let an invited agent stay while it gets orders."""
+        """Extend an invitation, since the entry sent an order."""
         known = self._known.get(name)
         if known is not None and known.guest_until > now:
             known.guest_until = now + _GUEST_S
 
     def join(self, now: float, name: str) -> None:
-        """Note that a stream is open."""
+        """Record that the stream to an entry is open."""
         self._connected.add(name)
         if name in self._known:
             self._known[name].connected = True
@@ -130,7 +132,7 @@
         self.due_at = now
 
     def leave(self, now: float, name: str) -> None:
-        """Note that a stream broke."""
+        """Record that the stream to an entry broke."""
         self._connected.discard(name)
         self._leaving.pop(name, None)
         known = self._known.get(name)
@@ -144,10 +146,10 @@
     def plan(
         self, now: float, is_busy: abc.Callable[[str], bool]
     ) -> list[Action]:
-        """Return which entries to dial and which to leave, if that is due.
+        """Return the streams to open and to close, if a check is due.
 
         :param now: monotonic seconds
-        :param is_busy: whether runs of an entry are here
+        :param is_busy: returns whether an entry has runs here
         """
         if now < self.due_at:
             return []
@@ -178,7 +180,11 @@
         return sorted(self._connected | dialled)
 
     def _give_up(self, now: float) -> list[Action]:
-        """Dial no more what can't be reached for long while others can."""
+        """Stop dialling entries that are unreachable for long.
+
+        Nothing is done while no entry is reachable, since the fault is then
+        likely on the agent's side.
+        """
         if not self._connected:
             return []
         gone = [
@@ -193,20 +199,23 @@
         return [self._close(name) for name, _ in gone]
 
     def _chosen(self, now: float) -> list[str]:
-        """Return the best entries, and another for each that is lost."""
+        """Return the best entries, with a substitute for each lost one.
+
+        Entries that invited the agent are added.
+        """
         most = _MOST
         alone = not self._connected
         if alone and now - self._alone_since > _DESPERATE_S:
             most = len(self._ranked)
         chosen: list[str] = []
-        found = 0
+        reachable = 0
         for name in self._ranked:
-            if found == STREAMS or len(chosen) == most:
+            if reachable == STREAMS or len(chosen) == most:
                 break
             if self._known[name].gone_until > now and not alone:
                 continue
             chosen.append(name)
-            found += not self._is_lost(now, self._known[name], alone)
+            reachable += not self._is_lost(now, self._known[name], alone)
         return chosen + [
             name
             for name, known in self._known.items()
@@ -238,15 +247,16 @@
         chosen: list[str],
         is_busy: abc.Callable[[str], bool],
     ) -> list[Action]:
-        """Give up what is not chosen, once what is chosen is connected.
+        """Close other streams once all chosen entries are connected.
 
-        An entry is told first, and gives no orders from then on. So its
-        stream is closed also if it is chosen again, and dialled anew.
+        The closing is announced first, and the entry sends no orders from
+        then on. So an announced stream is closed even if the entry is chosen
+        again, and a new one is opened.
         """
         closed = [
             self._close(name)
-            for name, told_at in list(self._leaving.items())
-            if now - told_at >= _FAREWELL_S and not is_busy(name)
+            for name, announced_at in list(self._leaving.items())
+            if now - announced_at >= _FAREWELL_S and not is_busy(name)
         ]
         if not self._is_settled(now, chosen):
             return closed
@@ -256,12 +266,12 @@
             if name not in chosen and name not in self._leaving
         ]
         self._leaving.update(dict.fromkeys(left, now))
-        goodbye = wire.Leaving()
-        told = [_agent_events.SendMessage(name, goodbye) for name in left]
-        return [*closed, *told]
+        message = wire.Leaving()
+        announced = [_agent_events.SendMessage(name, message) for name in left]
+        return [*closed, *announced]
 
     def _is_settled(self, now: float, chosen: list[str]) -> bool:
-        """Return whether what is chosen has been connected for a while."""
+        """Return whether all chosen entries are connected for a while."""
         if not set(chosen) <= self._connected:
             self._settled_since = None
             return False
--- a/src/ferryledge/leases/_owners.py
+++ b/src/ferryledge/leases/_owners.py
@@ -1,4 +1,10 @@
-"""The entries that an agent runs tasks for, and their grants."""
+"""The entries that an agent runs tasks for, and the grants they gave.
+
+A grant lets the agent renew an entry's runs for a limited time. The agent
+requests a new one with an ask (:class:`ferryledge.wire.AskLease`), and the
+entry answers with a grant. Asks are numbered, and a grant counts from the
+time at which the ask was sent that it answers.
+"""
 
 from collections import abc
 import math
@@ -10,21 +16,21 @@
 from ferryledge.leases import _timing
 from ferryledge import wire
 
-#: Ends kept until their entry confirms them.
+#: Most unconfirmed ends that are kept for an entry.
 _MAX_UNCONFIRMED = 2000
-#: Bounds in seconds on how long an answer may take before a stream counts
-#: as silent. The longest leaves time for a new stream before a grant ends.
+#: Bounds in seconds of the time after which a stream without an answer counts
+#: as silent. The longest leaves time to open a new stream before the grant
+#: expires.
 _LONGEST_ANSWER_S = 0.3
 _SHORTEST_ANSWER_S = 0.04
-#: What deviations of answers are taken to be at first, as a share of the
-#: longest time: a stream that is opened in vain costs a handshake.
+#: Initial estimate of the deviation of answer times, as a share of the
+#: longest. It is low, since a false alarm costs a handshake only.
 _FIRST_SHARE = 1.0 / 12.0
-#: Seconds between asks at the least: reports within it are confirmed by the
-#: same answer.
+#: Least seconds between asks that are sent for the sake of ends, so that one
+#: answer confirms several ends.
 _CONFIRM_EVERY_S = 0.05
 _CRC_RANGE = 2.0**32
-#: Share of the time between asks that passes after one that a report
-#: brought forward, before the next regular one.
+#: Least time until the next regular ask, as a share of the interval.
 _SOONEST_BEAT = 0.3
 
 
@@ -33,69 +39,71 @@
 
     name: str
     incarnation: str
-    #: Its availability zone.
+    #: Availability zone of the entry.
     zone: str = ""
     connected: bool = True
     #: When the ask was sent that the last grant answers.
     granted_at: float = float("-inf")
-    #: Asks without a grant so far, with when they were sent.
+    #: When each ask without a grant was sent, by its number.
     asks: dict[int, float] = msgspec.field(default_factory=dict)
     next_ask_at: float = 0.0
     heard_at: float = 0.0
     orders_seen: int = 0
-    #: Whether it is one of those that the agent keeps up to date.
+    #: Whether it is one of the few entries that get prompt state reports.
     home: bool = True
-    #: The state of the endpoint that it was told last.
+    #: The endpoint's state in the last report to the entry.
     told: wire.EndpointState | None = None
-    #: The part of it that all entries share.
+    #: The part of that state that all entries share.
     told_of: wire.EndpointState | None = None
-    #: Room by what it was told and by its own orders since; none if it may
-    #: take another figure for it.
+    #: Free capacity as the entry calculates it, from the last report and its
+    #: own orders since; none if that isn't known.
     expects: wire.Resources | None = None
-    #: When that was.
+    #: When the last report was sent or an order changed ``expects``.
     told_at: float = float("-inf")
-    #: Latest start that its most urgent waiting job can bear.
+    #: Latest acceptable start of the entry's most urgent waiting job.
     wanted_by: float = float("inf")
-    #: Whether it is still to hear what is held for it.
+    #: Whether the runs that are here are to be reported on a new stream.
     wants_held: bool = True
     #: Number of the last ask and when it was sent.
     asked: int = 0
     asked_at: float = float("-inf")
-    #: Asks whose answer is waited for, with when they were sent.
+    #: When each ask was sent that must be answered, by its number.
     owed: dict[int, float] = msgspec.field(default_factory=dict)
-    #: How long its answers take.
+    #: How long the entry's answers take.
     answer_times: _answer_times.AnswerTimes = msgspec.field(
         default_factory=lambda: _answer_times.AnswerTimes(
             _LONGEST_ANSWER_S, _SHORTEST_ANSWER_S, _FIRST_SHARE
         )
     )
-    #: Whether a new stream is being opened beside its silent one.
+    #: Whether a replacement for a silent stream is being opened.
     reopening: bool = False
-    #: When that may be tried again.
+    #: Earliest time of the next attempt to replace the stream.
     reopen_at: float = float("-inf")
-    #: How often lately the silent one answered before the new one was open.
+    #: How often recently the old stream answered before its replacement was
+    #: open.
     false_alarms: int = 0
-    #: Ends that it has not confirmed, each with the last ask before it.
+    #: Ends that the entry has not confirmed, each with the number of the last
+    #: ask before it.
     unconfirmed: list[tuple[int, wire.RunsEnded]] = msgspec.field(
         default_factory=list
     )
 
     @property
     def oldest_owed_at(self) -> float:
-        """When the oldest ask was sent whose answer is waited for."""
+        """When the oldest ask was sent that still must be answered."""
         return next(iter(self.owed.values()), float("inf"))
 
     @property
     def silent_at(self) -> float:
-        """When its stream counts as silent if no answer comes."""
+        """When the stream counts as silent if no answer comes before."""
         return self.oldest_owed_at + self.answer_times.limit_s
 
 
 class OwnerTable:
-    """All entries that this agent knows.
+    """The entries that an agent runs tasks for.
 
-    :param timing: the lease rule
-    :param name: the agent
+    :param timing: durations of leases and grants
+    :param name: the agent's name
     """
 
     def __init__(self, timing: _timing.LeaseTiming, name: str = "") -> None:
@@ -105,53 +113,55 @@
         self._current: dict[str, str] = {}
         self._connected: tuple[Owner, ...] = ()
         self._disconnected: tuple[Owner, ...] = ()
-        #: Those that owe an answer, by their incarnations.
+        #: Entries with an ask that must be answered, by incarnation.
         self._owing: dict[str, Owner] = {}
-        #: When the next ask is due; it may be due to nobody by then.
+        #: Lower bound of the time at which the next ask is due.
         self.ask_due_at = float("inf")
         self._asked = 0
-        #: Rises with all that an entry is told anew for.
+        #: Counts changes after which state reports may be due.
         self.changes = 0
 
     def __iter__(self) -> abc.Iterator[Owner]:
         return iter(list(self._owners.values()))
 
     def find(self, incarnation: str) -> Owner | None:
-        """Return an incarnation of an entry, or none."""
+        """Return an incarnation of an entry, if it is known."""
         return self._owners.get(incarnation)
 
     def current(self, name: str) -> Owner | None:
-        """Return the newest incarnation of an entry, or none."""
+        """Return the newest incarnation of an entry, if one is known."""
         return self._owners.get(self._current.get(name, ""))
 
     @property
     def connected(self) -> tuple[Owner, ...]:
-        """The entries with a stream."""
+        """The entries with an open stream."""
         return self._connected
 
     @property
     def disconnected(self) -> tuple[Owner, ...]:
-        """The entries without a stream that are not forgotten yet."""
+        """The entries without a stream that are still kept."""
         return self._disconnected
 
     @property
     def owing(self) -> abc.Collection[Owner]:
-        """The entries that owe an answer."""
+        """The entries with an ask that must be answered."""
         return self._owing.values()
 
     def _sort(self) -> None:
-        """Sort the entries anew by whether they have a stream."""
+        """Split the entries by whether they have a stream."""
         owners = self._owners.values()
-        self._connected = tuple(one for one in owners if one.connected)
-        self._disconnected = tuple(one for one in owners if not one.connected)
+        self._connected = tuple(owner for owner in owners if owner.connected)
+        self._disconnected = tuple(
+            owner for owner in owners if not owner.connected
+        )
 
     def _bring_forward(self, owner: Owner, due: float) -> None:
-        """Let the next ask be due no later than that."""
+        """Make the next ask due at that time, unless it is due before."""
         owner.next_ask_at = min(owner.next_ask_at, due)
         self.ask_due_at = min(self.ask_due_at, due)
 
     def plan_asks(self) -> None:
-        """Work out anew when the next ask is due."""
+        """Update ``ask_due_at``."""
         self.ask_due_at = min(
             (owner.next_ask_at for owner in self._connected),
             default=float("inf"),
@@ -163,18 +173,18 @@
         self._owing.pop(owner.incarnation, None)
 
     def note_answer(self, now: float, owner: Owner, number: int) -> bool:
-        """Take in that an entry has seen the ask with that number.
+        """Record that an entry has answered an ask, and all before it.
 
-        :return: whether it owed an answer to that or to an older one
+        :return: whether one of them had to be answered
         """
         if not owner.owed:
             return False
-        owed = [one for one in owner.owed if one <= number]
-        if not owed:
+        answered = [asked for asked in owner.owed if asked <= number]
+        if not answered:
             return False
-        owner.answer_times.note(now - owner.owed[owed[0]])
-        for one in owed:
-            del owner.owed[one]
+        owner.answer_times.note(now - owner.owed[answered[0]])
+        for asked in answered:
+            del owner.owed[asked]
         if not owner.owed:
             del self._owing[owner.incarnation]
         return True
@@ -182,7 +192,7 @@
     def join(
         self, now: float, name: str, incarnation: str, zone: str = ""
     ) -> Owner:
-        """Note that an entry's stream is open."""
+        """Record that an entry's stream is open."""
         self._current[name] = incarnation
         self.changes += 1
         owner = self._owners.get(incarnation)
@@ -202,7 +212,7 @@
         return owner
 
     def leave(self, name: str, incarnation: str) -> None:
-        """Note that an entry's stream broke."""
+        """Record that an entry's stream broke."""
         owner = self._owners.get(incarnation)
         if owner is not None and owner.name == name:
             owner.connected = False
@@ -213,7 +223,7 @@
             self.changes += 1
 
     def note_order(self, owner: Owner, order: wire.OrderRuns) -> None:
-        """Take in an order's number and the grant that it brings."""
+        """Record an order's number and the grant that it carries."""
         owner.orders_seen = max(owner.orders_seen, order.number)
         self.changes += 1
         self.granted(owner, order.ask_seen, order.less_ms)
@@ -223,49 +233,51 @@
     def note_taken(
         self, now: float, owner: Owner, order: wire.OrderRuns, whole: bool
     ) -> None:
-        """Take in what an order took of the room, as its entry counts it.
+        """Update the free capacity as an entry calculates it after an order.
 
         :param now: monotonic seconds
         :param owner: the entry
-        :param order: its order
-        :param whole: whether all of its runs were started
+        :param order: the entry's order
+        :param whole: whether all runs of the order were started
         """
         if whole and owner.expects is not None:
             count = len(order.runs)
             owner.expects = owner.expects.minus(order.need, count)
-            # As if it were told: who hears of freed room next goes by that.
+            # The entry's view is as current as after a report.
             owner.told_at = now
         else:
             owner.expects = None
 
     def forget(self, incarnation: str) -> None:
-        """Drop an incarnation that is not connected and has no runs."""
+        """Remove an incarnation that is not connected and has no runs."""
         owner = self._owners.pop(incarnation, None)
         self._sort()
         if owner and self._current.get(owner.name) == incarnation:
             del self._current[owner.name]
 
     def is_superseded(self, owner: Owner) -> bool:
-        """Return whether a newer incarnation of the entry has come."""
+        """Return whether a newer incarnation of the entry is known."""
         return self._current.get(owner.name) != owner.incarnation
 
     def has_grant(self, owner: Owner, now: float) -> bool:
-        """Return whether runs of an entry may be renewed."""
+        """Return whether an entry's grant is valid, so its runs may go on."""
         if self.is_superseded(owner):
             return False
         return now - owner.granted_at < self._timing.grant_s
 
     def is_silent(self, owner: Owner, now: float) -> bool:
-        """Return whether a stream that should carry grants is silent."""
+        """Return whether nothing was received from an entry for too long."""
         return now - owner.heard_at > self._timing.redial_s
 
     def ask(
         self, owner: Owner, now: float, busy: bool, at_once: bool = False
     ) -> wire.AskLease:
-        """Return the next ask for a grant.
+        """Return the next ask for a grant, and record it.
 
+        :param owner: the entry
+        :param now: monotonic seconds
         :param busy: whether the entry has runs here
-        :param at_once: whether its answer is needed in any case
+        :param at_once: whether the entry must answer in any case
         """
         self._asked += 1
         oldest = now - self._timing.grant_s
@@ -286,39 +298,40 @@
         return wire.AskLease(self._asked, self._asked in owner.owed)
 
     def _next_beat(self, now: float, every: float) -> float:
-        """Return the next ask's time, the same for all entries.
+        """Return when the next ask is due, the same time for all entries.
 
-        Asks that leave together cost one wake-up. Agents differ by a phase,
-        so that an entry is not asked by all of them at once.
+        Asks that are sent together cost one wake-up of the process. The
+        phase differs between agents, to spread their asks to an entry.
         """
         soonest = now + _SOONEST_BEAT * every
         beats = math.floor((soonest - self._phase * every) / every)
         return (beats + 1 + self._phase) * every
 
     def granted(self, owner: Owner, number: int, less_ms: int = 0) -> None:
-        """Take in a grant; an unknown or older one changes nothing.
+        """Record a grant; an unknown or older one is ignored.
 
-        It confirms what was sent before its ask: a stream keeps the order.
+        It also confirms the ends that were sent before its ask, since
+        streams preserve the order of messages.
 
         :param owner: the entry
-        :param number: of the ask that it answers
-        :param less_ms: milliseconds by which it ends sooner
+        :param number: number of the ask that it answers
+        :param less_ms: milliseconds by which the grant is shorter than usual
         """
         if owner.unconfirmed:
             owner.unconfirmed = [
-                one for one in owner.unconfirmed if one[0] >= number
+                end for end in owner.unconfirmed if end[0] >= number
             ]
         asked_at = owner.asks.pop(number, None)
         if asked_at is None:
             return
         owner.granted_at = max(owner.granted_at, asked_at - less_ms / 1000.0)
-        for older in [one for one in owner.asks if one < number]:
+        for older in [asked for asked in owner.asks if asked < number]:
             del owner.asks[older]
 
     def keep(self, owner: Owner, message: wire.RunsEnded) -> None:
-        """Keep an end until its entry confirms it.
+        """Keep an end until the entry confirms it.
 
-        The answer to an ask that is sent with it or later does.
+        The entry does by answering an ask that is sent with it or later.
         """
         if len(owner.unconfirmed) < _MAX_UNCONFIRMED:
             owner.unconfirmed.append((owner.asked, message))
@@ -326,10 +339,9 @@
     def ask_with(
         self, owner: Owner, now: float, message: wire.RunsEnded
     ) -> wire.RunsEnded:
-        """Return an end with an ask, or have one sent soon.
+        """Return an end, with an ask if none was sent recently.
 
-        An ask of its own with each end took two messages more: 8% of what
-        agents and entries spent on a full pool.
+        Otherwise an ask is sent soon that confirms this end and others.
         """
         due = owner.asked_at + _CONFIRM_EVERY_S
         if now < due:
@@ -339,7 +351,7 @@
         return wire.RunsEnded(message.job, message.ends, ask.number)
 
     def take_unconfirmed(self, owner: Owner) -> list[wire.RunsEnded]:
-        """Return the ends to send on a new stream."""
+        """Return the unconfirmed ends, to be sent again on a new stream."""
         messages = [message for _, message in owner.unconfirmed]
-        owner.unconfirmed = [(owner.asked, one) for one in messages]
+        owner.unconfirmed = [(owner.asked, end) for end in messages]
         return messages
--- a/src/ferryledge/leases/_quarantine.py
+++ b/src/ferryledge/leases/_quarantine.py
@@ -1,9 +1,9 @@
-"""How much of which endpoints an entry leaves unused, by evidence.
+"""Limits how much of an unstable endpoint's capacity an entry uses.
 
-It answers endpoints that go down and come back by turns: what runs there when
-they go is lost, so they get little first, and more as they hold. A pool where
-many do is used all the same: no more than a share of it is left out, counting
-those that the judge of health ejected.
+An endpoint that repeatedly goes down and returns loses the runs that it has,
+so it gets few at first and more as it stays up. At most a fixed share of the
+pool's capacity is left unused this way, including the endpoints that the
+health check ejected.
 """
 
 from collections import abc
@@ -14,26 +14,28 @@
 from ferryledge.leases import _pool
 from ferryledge import wire
 
-#: Largest share of the cores that is left unused by evidence: beyond it the
-#: rest can't carry what callers send, and what fails has a common cause more
-#: likely than one of the endpoints' own.
+#: Largest share of the pool's cores that is left unused. Beyond it the rest
+#: would be overloaded, and the failures likely have a common cause.
 _MOST_OUT = health.HealthOptions().max_ejected
-#: Endpoints of a zone with evidence against them that make it a zone's.
+#: Fewest suspect endpoints that make their zone suspect.
 _FEWEST_OF_ZONE = 2
 
 
 class Room(msgspec.Struct, frozen=True):
-    """What of an endpoint's room is to be used."""
+    """The part of an endpoint's free capacity that is to be used."""
 
     free: wire.Resources
-    #: Tasks that it may get at once.
+    #: How many tasks may be sent to it at once.
     tasks: int
 
 
 def held_back(rows: abc.Iterable[_pool.AgentRow]) -> dict[str, float]:
-    """Return the endpoints to be used in part, with the share to use.
+    """Return the share of capacity to use for each unstable endpoint.
+
+    The least stable ones are limited first.
 
     :param rows: all agents of the pool
+    :return: shares by the agents' names; the others are used in full
     """
     there = [row for row in rows if row.connected and row.state.accepting]
     shaky = [row for row in there if row.state.steady < 1.0]
@@ -51,14 +53,14 @@
 
 
 def room_of(row: _pool.AgentRow, share: float, tasks: int) -> Room:
-    """Return what of an endpoint is to be used.
+    """Return the part of an endpoint's free capacity that is to be used.
 
-    One on which nothing runs gets a task at the least: without any it would
-    never show that it holds.
+    An idle endpoint gets at least one task, since only a task can show
+    whether the endpoint has recovered.
 
-    :param row: the agent beside it
+    :param row: the endpoint's agent
     :param share: share of its capacity to use
-    :param tasks: how many it might get
+    :param tasks: how many tasks are available for it
     """
     free = row.free
     is_idle = free == row.state.capacity
@@ -73,7 +75,7 @@
 
 
 def doubted_zones(rows: abc.Iterable[_pool.AgentRow]) -> set[str]:
-    """Return the zones at least half of whose endpoints are in doubt."""
+    """Return the zones in which half of the endpoints or more are suspect."""
     by_zone: dict[str, list[bool]] = {}
     for row in rows:
         is_in_doubt = row.doubted or not row.healthy
--- a/src/ferryledge/leases/_reports.py
+++ b/src/ferryledge/leases/_reports.py
@@ -1,4 +1,4 @@
-"""What an agent tells entries of its endpoint and their runs."""
+"""Reports of an agent to entries, about its endpoint and their runs."""
 
 from collections import abc
 
@@ -11,19 +11,19 @@
 from ferryledge.leases import _states
 from ferryledge import wire
 
-#: Seconds between reports of runs that a slow endpoint holds up.
+#: Seconds between reports of delayed runs.
 _LATE_S = 0.1
 
 Send = abc.Callable[[_owners.Owner, wire.Message], None]
 
 
 class Reports:
-    """Tells entries what they need to know, as seldom as will do.
+    """Sends reports to entries, no more often than they need them.
 
-    :param name: this agent
-    :param owners: the entries
-    :param runs: what the endpoint holds
-    :param notes: what is decided
+    :param name: the agent's name
+    :param owners: the entries and their grants
+    :param runs: the runs at the endpoint
+    :param notes: records decisions for the log
     :param send: sends a message to an entry
     """
 
@@ -41,16 +41,17 @@
         self._notes = notes
         self._send = send
         self._turns = _states.Turns()
-        #: The state told last, kept as one object while it stays the same.
+        #: The current state. The object stays the same until a value changes,
+        #: so that it can be compared by identity.
         self._state = wire.EndpointState(home=False)
-        #: The changes among the entries that were looked at last.
+        #: The owners' count of changes at the last report.
         self._changes = -1
         self._late_told_at = float("-inf")
         #: When the next report of the endpoint's state is due.
         self.due_at = float("inf")
 
     def tell_held(self) -> None:
-        """Tell entries with a new stream what is held for them."""
+        """Report the present runs and unconfirmed ends on new streams."""
         for owner in self._owners.connected:
             if not owner.wants_held:
                 continue
@@ -72,15 +73,15 @@
         how: wire.HowEnded,
         crashed_jobs: int = 0,
     ) -> None:
-        """Tell an entry that a run of its is over, or never began.
+        """Report to an entry that a run has ended or wasn't started.
 
-        An end is kept until the entry confirms it.
+        An end is kept and repeated until the entry confirms it.
 
         :param now: monotonic seconds
         :param row: the run
         :param how: how it ended
-        :param crashed_jobs: jobs that lost runs when the endpoint went away
-            unannounced; 0 is any other end
+        :param crashed_jobs: how many jobs lost runs in a crash of the
+            endpoint; 0 if it didn't crash
         """
         self._notes.over(now, row, how)
         owner = self._owners.find(row.owner)
@@ -106,14 +107,14 @@
         runs: abc.Iterable[wire.TaskRun],
         reason: wire.NotStarted,
     ) -> None:
-        """Tell an entry which runs were not started."""
+        """Report to an entry which runs were not started."""
         if owner.connected:
             self._send(owner, wire.RunsReleased(job, tuple(runs), reason))
 
     def tell_late(self, now: float, speed: _speed.EndpointSpeed) -> None:
-        """Tell entries of their runs that a slow endpoint holds up.
+        """Report to entries which of their runs are delayed.
 
-        On one that does well these are the runs that hang.
+        These are all runs of a slow endpoint, and hung runs of any other.
         """
         is_slow = speed.reported >= _speed.SLOW_FROM
         if now - self._late_told_at < _LATE_S:
@@ -131,10 +132,10 @@
                 self._send(owner, wire.LateRuns(runs))
 
     def tell_state(self, now: float, state: wire.EndpointState) -> None:
-        """Tell entries how the endpoint stands, as far as that is due.
+        """Report the endpoint's state to the entries for which that is due.
 
         :param now: monotonic seconds
-        :param state: the endpoint's state, but for what is an entry's own
+        :param state: the part of the state that all entries share
         """
         same = state == self._state and self._owners.changes == self._changes
         if same and now < self.due_at:
@@ -189,7 +190,7 @@
 def _knows(
     owner: _owners.Owner, state: wire.EndpointState, home: bool
 ) -> bool:
-    """Return whether an entry was told just that last."""
+    """Return whether the last report to an entry is still current."""
     told = owner.told
     return (
         told is not None
@@ -200,10 +201,10 @@
 
 
 def _can_tell(owner: _owners.Owner, state: wire.EndpointState) -> bool:
-    """Return whether an entry can tell the state itself.
+    """Return whether an entry can calculate the state itself.
 
-    It counts its own orders. A report for each was 0.8 of the 6.4 messages a
-    run that entries heard (simulation of a pool at 0.9).
+    It can if only its own orders have changed the state since the last
+    report.
     """
     return (
         owner.told is not None
