--- a/src/ferryledge/leases/tests/test_asks.py
+++ b/src/ferryledge/leases/tests/test_asks.py
@@ -1,4 +1,4 @@
-"""Asks that ride on ends, and what answers them."""
+"""Asks for a grant that are sent with ends of runs."""
 
 import random
 
@@ -40,14 +40,14 @@
 
 @pytest.fixture
 def entry() -> leases.LeaseEntry:
-    """An entry with one run at its one agent, whose room that fills."""
+    """Return an entry with one run, which fills its only agent."""
     entry = leases.LeaseEntry("entry-0", "0.1", "north", random.Random(1))
     hello = wire.Hello(wire.Role.AGENT, _AGENT, "1.1", "north")
     entry.receive(0.0, wire.PeerUp(hello))
     _receive(entry, 0.0, wire.RunsHeld(()))
     _receive(entry, 0.0, _state(_ROOM, 0))
     entry.receive(0.1, leases.JobSubmitted(1, _job("a" * 16)))
-    assert any(isinstance(one, wire.OrderRuns) for one in _sent(entry, 0.1))
+    assert any(isinstance(sent, wire.OrderRuns) for sent in _sent(entry, 0.1))
     return entry
 
 
@@ -57,7 +57,7 @@
     return wire.RunsEnded("a" * 16, (end,), ask)
 
 
-def test_ask_that_came_with_an_end_is_answered(
+def test_ask_with_an_end_is_answered(
     entry: leases.LeaseEntry,
 ) -> None:
     _receive(entry, 0.5, _end(ask=7))
@@ -67,10 +67,10 @@
 def test_end_without_an_ask_is_not_answered(entry: leases.LeaseEntry) -> None:
     _receive(entry, 0.5, _end(ask=0))
     sent = _sent(entry, 0.5)
-    assert not any(isinstance(one, wire.GrantLease) for one in sent)
+    assert not any(isinstance(message, wire.GrantLease) for message in sent)
 
 
-def test_order_of_the_same_tick_answers_in_its_place(
+def test_order_of_the_same_tick_replaces_the_grant_message(
     entry: leases.LeaseEntry,
 ) -> None:
     entry.receive(0.4, leases.JobSubmitted(2, _job("b" * 16)))
@@ -78,28 +78,30 @@
     _receive(entry, 0.5, _end(ask=7))
     _receive(entry, 0.5, _state(_ROOM, 1))
     sent = _sent(entry, 0.5)
-    orders = [one for one in sent if isinstance(one, wire.OrderRuns)]
+    orders = [
+        message for message in sent if isinstance(message, wire.OrderRuns)
+    ]
     assert [order.ask_seen for order in orders] == [7]
-    assert not any(isinstance(one, wire.GrantLease) for one in sent)
+    assert not any(isinstance(message, wire.GrantLease) for message in sent)
 
 
-def test_end_is_told_again_until_an_answer_confirms_it() -> None:
-    """Streams break right after an end was reported; it is told anew."""
+def test_end_is_reported_again_until_it_is_confirmed() -> None:
+    """A stream breaks right after an end was reported on it."""
     world = worlds.World(seed=6, entries=1, agents=1)
     world.run(2.0)
     world.submit("entry-0", "a" * 16, 1, work_s=0.2)
-    told = []
+    reported = []
     send = world._send
 
-    def watch(source: str, target: str, event: wire.Received) -> None:
+    def relay(source: str, target: str, event: wire.Received) -> None:
         if isinstance(event.message, wire.RunsEnded):
-            told.append(event.message.ends)
-            if len(told) < 3:
+            reported.append(event.message.ends)
+            if len(reported) < 3:
                 world.at(0.0, lambda: world.break_stream(_AGENT, "entry-0"))
         send(source, target, event)
 
-    world._send = watch  # type: ignore[method-assign]
+    world._send = relay  # type: ignore[method-assign]
     world.run(3.0)
-    assert len(told) == 3
-    assert len(set(told)) == 1
+    assert len(reported) == 3
+    assert len(set(reported)) == 1
     assert world.started["a" * 16] == 1
--- a/src/ferryledge/leases/tests/test_crashes.py
+++ b/src/ferryledge/leases/tests/test_crashes.py
@@ -1,9 +1,4 @@
-"""A task that takes down each endpoint that starts it.
-
-A run that was lost with its endpoint was counted nowhere: the task went from
-one endpoint to the next for as long as its client waited. In the simulation a
-job of one task, whose client waits 30 s, took down endpoints 39 times.
-"""
+"""A task that crashes its endpoint fails before it crashes many others."""
 
 import pytest
 
@@ -28,7 +23,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 8])
-def test_deadly_job_fails_soon(world: worlds.World, count: int) -> None:
+def test_deadly_job_fails_early(world: worlds.World, count: int) -> None:
     world.crashing_jobs.add(_JOB)
     token = world.submit("entry-0", _JOB, count, work_s=1.0, deadline_s=30.0)
     world.run(12.0)
@@ -41,7 +36,7 @@
     assert not world.violations
 
 
-def test_others_are_served_beside_a_deadly_job(world: worlds.World) -> None:
+def test_other_jobs_complete_beside_a_deadly_job(world: worlds.World) -> None:
     world.crashing_jobs.add(_JOB)
     world.submit("entry-0", _JOB, 2, work_s=1.0, deadline_s=30.0)
     tokens = []
@@ -53,7 +48,7 @@
     assert all(_is_complete(world, token) for token in tokens)
 
 
-def test_power_that_is_lost_twice_condemns_no_job(
+def test_no_job_fails_after_two_power_failures(
     world: worlds.World,
 ) -> None:
     tokens = [
@@ -68,7 +63,7 @@
     assert all(_is_complete(world, token) for token in tokens)
 
 
-def test_endpoint_that_crashes_again_and_again_condemns_no_job(
+def test_no_job_fails_by_repeated_crashes_of_one_endpoint(
     world: worlds.World,
 ) -> None:
     tokens = []
@@ -84,13 +79,13 @@
     assert all(_is_complete(world, token) for token in tokens)
 
 
-def test_endpoints_that_leave_as_announced_condemn_no_job(
+def test_no_job_fails_by_announced_shutdowns(
     world: worlds.World,
 ) -> None:
     token = world.submit("entry-0", _JOB, 1, work_s=4.0, deadline_s=60.0)
     for _ in range(3):
         world.run(0.5)
-        busy = [a for a in _AGENTS if world.endpoints[a].runs]
+        busy = [agent for agent in _AGENTS if world.endpoints[agent].runs]
         for agent in busy:
             world.endpoints[agent].draining = True
             world.heartbeat(agent)
@@ -102,7 +97,10 @@
 
 
 def _crashed(watch: _crashes.CrashWatch, *jobs: int) -> list[_crashes.Crash]:
-    """Let endpoints crash under the job and so many jobs in all."""
+    """Crash one endpoint after the other while they run the job.
+
+    :param jobs: for each endpoint, how many jobs run there in all
+    """
     return [
         watch.note(2.0 * number, f"agent-{number}", _JOB, count)
         for number, count in enumerate(jobs)
@@ -120,14 +118,14 @@
         ((9, 9, 9, 9, 9), True),
     ],
 )
-def test_jobs_that_ran_beside_it_share_the_blame(
+def test_jobs_on_one_endpoint_share_the_blame(
     jobs: tuple[int, ...], deadly: bool
 ) -> None:
     watch = _crashes.CrashWatch()
     assert watch.is_deadly(_JOB, _crashed(watch, *jobs)) is deadly
 
 
-def test_crashes_beside_others_count_less() -> None:
+def test_simultaneous_crashes_elsewhere_reduce_the_blame() -> None:
     watch = _crashes.CrashWatch()
     crashes = _crashed(watch, 1, 1, 1, 1, 1)
     for at in (0.5, 2.5, 3.5, 6.5, 8.5):
@@ -136,19 +134,14 @@
     assert watch.is_deadly(_JOB, crashes)
 
 
-def test_same_endpoint_is_blamed_once() -> None:
+def test_crashes_of_one_endpoint_add_blame_once() -> None:
     watch = _crashes.CrashWatch()
     crashes = [watch.note(at, "agent-0", _JOB, 1) for at in (1.0, 3.0, 5.0)]
     assert not watch.is_deadly(_JOB, crashes)
 
 
-def test_few_endpoints_that_crash_in_turn_are_enough() -> None:
-    """With one zone cordoned two endpoints were left beside each other.
-
-    Both ran other jobs as well, so neither crash was blamed on the task
-    alone, and as one endpoint each they counted twice at the most: the soak
-    saw its eighth run take one down.
-    """
+def test_task_fails_after_many_crashes_of_two_endpoints() -> None:
+    """Other jobs share the blame, so only the number of crashes decides."""
     watch = _crashes.CrashWatch()
     crashes = [
         watch.note(2.0 * n, f"agent-{n % 2}", _JOB, 2) for n in range(5)
@@ -157,7 +150,7 @@
     assert watch.is_deadly(_JOB, crashes)
 
 
-def test_lost_runs_of_one_crash_are_one() -> None:
+def test_runs_lost_together_belong_to_one_crash() -> None:
     watch = _crashes.CrashWatch()
-    one = watch.note(1.0, "agent-0", _JOB, 2)
-    assert watch.note(1.1, "agent-0", "b" * 16, 2) is one
+    crash = watch.note(1.0, "agent-0", _JOB, 2)
+    assert watch.note(1.1, "agent-0", "b" * 16, 2) is crash
--- a/src/ferryledge/leases/tests/test_dealing.py
+++ b/src/ferryledge/leases/tests/test_dealing.py
@@ -1,4 +1,4 @@
-"""Which entries an agent keeps streams to."""
+"""The choice of the entries to which an agent keeps streams."""
 
 import collections
 
@@ -15,14 +15,14 @@
 
 
 class _Agent:
-    """An agent's streams; those that it dials open at once."""
+    """An agent whose streams to reachable entries open at once."""
 
     def __init__(self, name: str = "agent-0") -> None:
         self.dealing = _dealing.Dealing(name)
         self.now = 0.0
         self.streams: set[str] = set()
         self.dialled: set[str] = set()
-        self.told: list[str] = []
+        self.announced: list[str] = []
         self.down: set[str] = set()
         self.busy: set[str] = set()
 
@@ -37,9 +37,9 @@
         for action in self.dealing.plan(self.now, self.busy.__contains__):
             match action:
                 case _agent_events.DialEntries(entries):
-                    self.dialled |= {one.name for one in entries}
+                    self.dialled |= {entry.name for entry in entries}
                 case _agent_events.SendMessage(peer, wire.Leaving()):
-                    self.told.append(peer)
+                    self.announced.append(peer)
                 case _agent_events.LeaveEntry(name):
                     self.dialled.discard(name)
                     self.close(name)
@@ -62,33 +62,33 @@
     return agent
 
 
-def test_few_entries_get_a_stream(agent: _Agent) -> None:
+def test_agent_connects_to_few_entries(agent: _Agent) -> None:
     assert len(agent.streams) == _dealing.STREAMS
 
 
-def test_all_entries_get_one_where_they_are_few() -> None:
+def test_agent_connects_to_all_of_few_entries() -> None:
     agent = _Agent()
     agent.dealing.learn(0.0, _ENTRIES[:3])
     agent.run(5.0)
     assert len(agent.streams) == 3
 
 
-def test_settled_agent_looks_no_more(agent: _Agent) -> None:
+def test_settled_agent_needs_no_more_checks(agent: _Agent) -> None:
     assert agent.dealing.due_at == float("inf")
 
 
-def test_entries_get_nearly_the_same_part_of_the_pool() -> None:
-    parts: dict[str, int] = collections.Counter()
+def test_entries_get_nearly_equal_numbers_of_agents() -> None:
+    counts: dict[str, int] = collections.Counter()
     for number in range(240):
         agent = _Agent(f"side-{number}")
         agent.dealing.learn(0.0, _ENTRIES)
         agent.run(0.3)
-        parts.update(agent.streams)
+        counts.update(agent.streams)
     mean = 240 * _dealing.STREAMS / len(_ENTRIES)
-    assert all(0.7 * mean < part < 1.3 * mean for part in parts.values())
+    assert all(0.7 * mean < count < 1.3 * mean for count in counts.values())
 
 
-def test_lost_entry_is_replaced_and_served_again_when_it_is_back(
+def test_lost_entry_gets_a_substitute_until_it_returns(
     agent: _Agent,
 ) -> None:
     before = set(agent.streams)
@@ -104,27 +104,27 @@
     assert agent.streams == before
 
 
-def test_entry_is_told_before_its_stream_is_closed(agent: _Agent) -> None:
+def test_closing_of_a_stream_is_announced(agent: _Agent) -> None:
     better = wire.EntryAddress("entry-new", "10.0.1.0", 7000)
-    while agent.streams == {one.name for one in _ENTRIES} & agent.streams:
+    while agent.streams == {entry.name for entry in _ENTRIES} & agent.streams:
         better = wire.EntryAddress(f"{better.name}x", "10.0.1.0", 7000)
         agent.dealing.learn(agent.now, (better,))
         agent.run(0.5)
     assert len(agent.streams) == _dealing.STREAMS + 1
-    while not agent.told:
+    while not agent.announced:
         agent.run(0.1)
     assert len(agent.streams) == _dealing.STREAMS + 1
     agent.run(1.0)
     assert len(agent.streams) == _dealing.STREAMS
 
 
-def test_entry_that_was_told_and_is_chosen_again_gets_a_new_stream(
+def test_entry_invited_again_after_the_announcement_gets_a_new_stream(
     agent: _Agent,
 ) -> None:
-    """It takes the agent for one that leaves for as long as a stream lasts."""
-    guest = _other(agent)
+    """The entry sends no orders on a stream whose closing was announced."""
+    guest = _unserved(agent)
     agent.dealing.hear(agent.now, wire.Invite(guest))
-    while guest.name not in agent.told:
+    while guest.name not in agent.announced:
         agent.run(0.1)
     agent.dealing.hear(agent.now, wire.Invite(guest))
     dropped = False
@@ -135,13 +135,13 @@
     assert guest.name in agent.streams
 
 
-def test_entry_that_was_told_is_closed_while_another_is_down(
+def test_announced_stream_is_closed_while_another_entry_is_down(
     agent: _Agent,
 ) -> None:
-    guest = _other(agent)
+    guest = _unserved(agent)
     chosen = set(agent.streams)
     agent.dealing.hear(agent.now, wire.Invite(guest))
-    while guest.name not in agent.told:
+    while guest.name not in agent.announced:
         agent.run(0.1)
     lost = min(chosen)
     agent.down.add(lost)
@@ -150,10 +150,10 @@
     assert guest.name not in agent.streams
 
 
-def test_entry_with_runs_here_is_not_left(agent: _Agent) -> None:
-    agent.dealing.hear(agent.now, wire.Invite(_other(agent)))
+def test_stream_is_kept_while_its_entry_has_runs_here(agent: _Agent) -> None:
+    agent.dealing.hear(agent.now, wire.Invite(_unserved(agent)))
     agent.run(1.0)
-    (guest,) = agent.streams - set(_names(agent))
+    (guest,) = agent.streams - set(_chosen_without_invitation(agent))
     agent.busy.add(guest)
     agent.run(_LONG_S)
     assert guest in agent.streams
@@ -163,7 +163,7 @@
 
 
 def test_invited_agent_stays_while_it_gets_orders(agent: _Agent) -> None:
-    guest = _other(agent)
+    guest = _unserved(agent)
     agent.dealing.hear(agent.now, wire.Invite(guest))
     for _ in range(6):
         agent.run(5.0)
@@ -173,10 +173,10 @@
     assert len(agent.streams) == _dealing.STREAMS
 
 
-def test_agent_that_lost_all_dials_a_few_others_at_once_and_later_all(
+def test_agent_without_streams_dials_a_few_others_at_once_and_later_all(
     agent: _Agent,
 ) -> None:
-    agent.down = {one.name for one in _ENTRIES}
+    agent.down = {entry.name for entry in _ENTRIES}
     for name in list(agent.streams):
         agent.close(name)
     agent.run(1.0)
@@ -185,10 +185,12 @@
     assert len(agent.dialled) == len(_ENTRIES)
 
 
-def test_entries_that_are_gone_for_good_take_no_place(agent: _Agent) -> None:
-    """Machines that were replaced stay known; twelve of sixteen are gone."""
-    alive = {one.name for one in _ENTRIES[:4]}
-    agent.down = {one.name for one in _ENTRIES} - alive
+def test_entries_that_are_gone_for_good_are_seldom_dialled(
+    agent: _Agent,
+) -> None:
+    """The addresses of replaced machines stay known."""
+    alive = {entry.name for entry in _ENTRIES[:4]}
+    agent.down = {entry.name for entry in _ENTRIES} - alive
     for name in sorted(agent.streams - alive):
         agent.close(name)
     agent.run(60.0)
@@ -200,7 +202,7 @@
     assert sum(dialled) / len(dialled) < 8.0
 
 
-def test_entry_that_is_back_after_long_is_served_again(agent: _Agent) -> None:
+def test_entry_that_returns_after_long_is_served_again(agent: _Agent) -> None:
     lost = min(agent.streams)
     agent.down.add(lost)
     agent.close(lost)
@@ -215,17 +217,17 @@
     moved = wire.EntryAddress(name, "10.0.9.9", 7000)
     agent.dealing.learn(agent.now, (moved,))
     actions = agent.dealing.plan(agent.now, agent.busy.__contains__)
-    assert [type(one) for one in actions] == [_agent_events.DialEntries]
+    assert [type(action) for action in actions] == [_agent_events.DialEntries]
     assert actions[0].entries == (moved,)
 
 
-def _names(agent: _Agent) -> list[str]:
-    """Return the entries that an agent of that name chooses by itself."""
+def _chosen_without_invitation(agent: _Agent) -> list[str]:
+    """Return the entries that the agent would choose without invitations."""
     other = _Agent()
     other.dealing.learn(0.0, _ENTRIES)
     other.run(0.3)
     return sorted(other.streams)
 
 
-def _other(agent: _Agent) -> wire.EntryAddress:
-    return next(one for one in _ENTRIES if one.name not in agent.streams)
+def _unserved(agent: _Agent) -> wire.EntryAddress:
+    return next(entry for entry in _ENTRIES if entry.name not in agent.streams)
--- a/src/ferryledge/leases/tests/test_endpoint_lives.py
+++ b/src/ferryledge/leases/tests/test_endpoint_lives.py
@@ -1,4 +1,4 @@
-"""Which incarnation of an endpoint an agent works with."""
+"""Heartbeats of a replaced endpoint don't mislead its agent."""
 
 import msgspec
 import pytest
@@ -20,12 +20,12 @@
     return leases.endpoint_id_of(_core(world).link.incarnation)
 
 
-def _late_heartbeat(world: worlds.World, number: int = 1) -> None:
+def _deliver_late_heartbeat(world: worlds.World, number: int = 1) -> None:
     """Deliver a heartbeat of the endpoint's first incarnation."""
-    world.post(_AGENT, _first_report(world, number))
+    world.post(_AGENT, _late_heartbeat(world, number))
 
 
-def _first_report(world: worlds.World, number: int) -> leases.EndpointSeen:
+def _late_heartbeat(world: worlds.World, number: int) -> leases.EndpointSeen:
     """Return a heartbeat of the endpoint's first incarnation."""
     seen = world.report_of(_AGENT, number)
     return msgspec.structs.replace(seen, endpoint_id=_OLD, born_ms=1)
@@ -42,12 +42,12 @@
 
 
 @pytest.mark.parametrize("number", [1, 1_000_000])
-def test_late_heartbeat_of_a_replaced_endpoint_changes_nothing(
+def test_late_heartbeat_of_a_replaced_endpoint_is_ignored(
     world: worlds.World, number: int
 ) -> None:
     token = world.submit("entry-0", "a" * 16, work_s=0.5)
     world.run(0.2)
-    _late_heartbeat(world, number)
+    _deliver_late_heartbeat(world, number)
     world.run(0.1)
     assert _endpoint_id(world) == _NEW
     assert len(world.endpoints[_AGENT].runs) == 2
@@ -57,23 +57,23 @@
     assert not world.violations
 
 
-def test_late_heartbeat_after_the_agent_started_again(
+def test_late_heartbeat_after_a_restart_of_the_agent(
     world: worlds.World,
 ) -> None:
     world.kill(_AGENT, 0.1)
     world.run(0.11)
-    _late_heartbeat(world)
+    _deliver_late_heartbeat(world)
     world.run(0.2)
     assert _endpoint_id(world) == _NEW
 
 
-def test_late_heartbeat_before_anything_is_known(
+def test_late_heartbeat_after_a_restart_without_a_stored_one(
     world: worlds.World,
 ) -> None:
     del world.remembered[_AGENT]
     world.kill(_AGENT, 0.1)
     world.run(0.12)
-    _late_heartbeat(world)
+    _deliver_late_heartbeat(world)
     world.run(1.8)
     assert _endpoint_id(world) == _NEW
     token = world.submit("entry-0", "b" * 16)
@@ -81,7 +81,7 @@
     assert isinstance(world.outcome(token), outcomes.Complete)
 
 
-def test_successor_takes_over_from_a_silent_endpoint() -> None:
+def test_successor_replaces_an_unresponsive_endpoint() -> None:
     world = worlds.World(seed=3, agents=1)
     world.run(2.0)
     seen = world.report_of(_AGENT, 1)
--- a/src/ferryledge/leases/tests/test_mutations.py
+++ b/src/ferryledge/leases/tests/test_mutations.py
@@ -1,6 +1,6 @@
-"""Without one of its mechanisms the lease rule is seen to break.
+"""Mutation tests: the scenarios detect when a mechanism is missing.
 
-Each is taken out alone, in a scenario that holds with it.
+Each mechanism is disabled alone, in a scenario that passes with it.
 """
 
 from collections import abc
@@ -40,10 +40,10 @@
     return faults.play(strike, faults.STEPS["start"], 100)
 
 
-def _entry_gone_and_its_job_repeated() -> worlds.World:
+def _entry_lost_and_its_job_repeated() -> worlds.World:
     world = worlds.World(seed=5)
     world.run(2.0)
-    # It fills one endpoint, so that the repeat has to go to another.
+    # The job fills one endpoint, so its repetition runs on another.
     world.submit("entry-0", _JOB, count=8, work_s=3.0)
     world.run(0.2)
     world.kill("entry-0", down_s=6.0)
@@ -66,7 +66,7 @@
     return world
 
 
-def _agent_back_while_its_entry_is_gone() -> worlds.World:
+def _agent_restarted_while_its_entry_is_down() -> worlds.World:
     world = worlds.World(seed=5, agents=1)
     world.run(2.0)
     world.submit("entry-0", _JOB, count=8, work_s=3.0)
@@ -80,7 +80,7 @@
 
 
 def _silent_streams(work_s: float) -> worlds.World:
-    """Let streams go silent 0.4 s after the start of a task."""
+    """Make all streams silent 0.4 s after the start of a task."""
     world = worlds.World(seed=3, entries=1, agents=1)
     world.run(2.0)
     world.submit("entry-0", _JOB, count=1, work_s=work_s)
@@ -101,7 +101,7 @@
 
 
 def _endpoint_restarted(down_s: float = 1.0) -> worlds.World:
-    """Return a world whose only endpoint started again under its id."""
+    """Return a world whose only endpoint restarted under the same id."""
     world = worlds.World(seed=5, agents=1)
     world.run(4.0)
     for number in range(6):
@@ -131,11 +131,11 @@
     return world
 
 
-def _restarted_under_an_order() -> worlds.World:
+def _restarted_before_a_start_call() -> worlds.World:
     world = worlds.World(seed=5, agents=2)
     world.run(2.0)
     world.submit("entry-0", _JOB, count=4, work_s=0.5)
-    # The agent has taken the order; the endpoint gets it after its restart.
+    # The agent has sent the start calls, which arrive after the restart.
     world.run(worlds.HOP_S + worlds.CALL_S / 2.0)
     world.crash_endpoint("agent-0", 0.0, same_id=True)
     world.run(3.0)
@@ -155,8 +155,8 @@
     return world
 
 
-def _late_word_of_a_cordon() -> worlds.World:
-    """Let all hear of a cordon after the word that it was taken back."""
+def _late_state_of_cordons() -> worlds.World:
+    """Deliver an outdated state of the cordons after the current one."""
     world = worlds.World(seed=4, entries=1, agents=2)
     world.run(2.0)
     late = world.cordons
@@ -179,7 +179,7 @@
 
 
 def _deadly_job() -> worlds.World:
-    """Let a task take down each endpoint that starts it."""
+    """Run a task that crashes each endpoint on which it starts."""
     world = worlds.World(seed=6, entries=2, agents=6)
     world.run(3.0)
     world.crashing_jobs.add(_JOB)
@@ -190,7 +190,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mutation:
-    """A mechanism that is taken out, and where that shows."""
+    """A replacement that disables a mechanism, and the scenario for it."""
 
     target: object
     attribute: str
@@ -199,7 +199,7 @@
 
 
 def _many_fail() -> worlds.World:
-    """Let six of ten endpoints fail all that they start."""
+    """Let six of ten endpoints fail all their runs."""
     world = worlds.World(seed=3, entries=2, agents=10)
     world.run(3.0)
     world.failing |= {f"endpoint-of-agent-{n}" for n in range(6)}
@@ -215,27 +215,27 @@
     return world
 
 
-def _believe(
+def _accept_any_heartbeat(
     link: _endpoint.EndpointLink, seen: leases.EndpointSeen, now: float
 ) -> _endpoint.Change:
-    """Take any other incarnation for a successor."""
+    """Treat any other incarnation as the successor."""
     if link.incarnation == seen.incarnation:
         return _endpoint.Change.NONE
     return link._take(seen, now)
 
 
-def _nothing(*_: typing.Any) -> None:
-    """Stand in for a mechanism that is taken out."""
+def _do_nothing(*_: typing.Any) -> None:
+    """Replace a disabled mechanism."""
 
 
-def _always(*_: typing.Any) -> bool:
+def _return_true(*_: typing.Any) -> bool:
     return True
 
 
-def _take_the_next_token(
+def _raise_token_by_one(
     link: _endpoint.EndpointLink, clock_ms: int, now: float
 ) -> None:
-    """Raise the fencing token as if it were always below the clock."""
+    """Raise the fencing token as if the seen one were below the clock."""
     link.note_clock(clock_ms, now)
     link._token = max(link._token + 1, link.clock_ms(now))
 
@@ -246,120 +246,120 @@
 def _learn_any(
     exchange: _config_exchange.ConfigExchange, *read: typing.Any
 ) -> bool:
-    """Take in any configuration, as if none had been there."""
+    """Accept any configuration, as if there had been none before."""
     exchange._version = 0
     return _LEARN(exchange, *read)
 
 
-_TAKE_PARTS = _acceptance.Acceptance.__init__
+_INIT_ACCEPTANCE = _acceptance.Acceptance.__init__
 
 
-def _without_cordons(
-    acceptance: _acceptance.Acceptance, *parts: typing.Any
+def _ignore_cordons(
+    acceptance: _acceptance.Acceptance, *args: typing.Any
 ) -> None:
-    """Let an agent accept work as if no zone were ever cordoned."""
-    link, runs, owners, _, zone = parts
-    _TAKE_PARTS(acceptance, link, runs, owners, _cordons.Cordons(), zone)
+    """Accept orders as if no zone were cordoned."""
+    link, runs, owners, _, zone = args
+    _INIT_ACCEPTANCE(acceptance, link, runs, owners, _cordons.Cordons(), zone)
 
 
 MUTATIONS = {
-    "any number of endpoints is ejected": Mutation(
+    "unlimited ejection of endpoints": Mutation(
         health.HealthJudge,
         "_may_eject",
-        _always,
+        _return_true,
         _many_fail,
     ),
-    "configurations never go back": Mutation(
+    "configurations may go back to an older version": Mutation(
         _config_exchange.ConfigExchange,
         "learn",
         _learn_any,
         _late_configurations,
     ),
-    "a digest proves a configuration": Mutation(
+    "the digest of a configuration isn't checked": Mutation(
         _config_exchange,
         "digest_of",
         lambda data: b"any",
         _late_configurations,
     ),
-    "endpoints crash on under a task": Mutation(
+    "deadly tasks are not detected": Mutation(
         _crashes.CrashWatch,
         "is_deadly",
         lambda *_: False,
         _deadly_job,
     ),
-    "agents leave cordons to entries": Mutation(
+    "agents ignore cordons": Mutation(
         _acceptance.Acceptance,
         "__init__",
-        _without_cordons,
+        _ignore_cordons,
         faults.play_stale_entry,
     ),
-    "the last word of a cordon counts": Mutation(
+    "outdated states of cordons are accepted": Mutation(
         _cordons,
         "_is_newer",
-        _always,
-        _late_word_of_a_cordon,
+        _return_true,
+        _late_state_of_cordons,
     ),
-    "room is not counted": Mutation(
+    "capacity is not accounted for": Mutation(
         _acceptance.Acceptance,
         "free",
         property(lambda _: _PLENTY),
         _late_orders,
     ),
-    "runs are over as soon as a stream breaks": Mutation(
+    "runs count as ended as soon as a stream breaks": Mutation(
         _timing.LeaseTiming,
         "over_after_s",
         property(lambda _: 0.0),
         _agents_killed,
     ),
-    "grants never run out": Mutation(
+    "grants never expire": Mutation(
         _owners.OwnerTable,
         "has_grant",
-        _always,
-        _entry_gone_and_its_job_repeated,
+        _return_true,
+        _entry_lost_and_its_job_repeated,
     ),
-    "any heartbeat is the endpoint's": Mutation(
+    "any heartbeat is accepted": Mutation(
         _endpoint.EndpointLink,
         "see",
-        _believe,
+        _accept_any_heartbeat,
         _late_heartbeat_during_a_run,
     ),
-    "starts are told apart by the id alone": Mutation(
+    "incarnations are distinguished by the id alone": Mutation(
         _lives,
         "incarnation_of",
         lambda endpoint_id, _: endpoint_id,
         _restarted_then_draining,
     ),
-    "ends are confirmed to whoever answers": Mutation(
+    "ends are acknowledged to any incarnation": Mutation(
         _endpoint.EndpointLink,
         "failed",
-        _nothing,
+        _do_nothing,
         _jobs_after_a_restart,
     ),
-    "no order outlives the start that it was for": Mutation(
+    "unlisted runs are not stopped after a restart": Mutation(
         _endpoint_watch.EndpointWatch,
         "_lose_listed",
         lambda watch, now: watch._lose_all(now),
-        _restarted_under_an_order,
+        _restarted_before_a_start_call,
     ),
-    "tokens are never above the clock": Mutation(
+    "fencing tokens are never above the clock": Mutation(
         _endpoint.EndpointLink,
         "raise_token",
-        _take_the_next_token,
+        _raise_token_by_one,
         _agent_after_an_endpoint_restarted,
     ),
-    "what runs is not adopted": Mutation(
+    "unknown runs are not adopted": Mutation(
         _endpoint_watch.EndpointWatch,
         "_adopt",
-        _nothing,
-        _agent_back_while_its_entry_is_gone,
+        _do_nothing,
+        _agent_restarted_while_its_entry_is_down,
     ),
-    "ends are told once": Mutation(
+    "ends are reported once": Mutation(
         _owners.OwnerTable,
         "take_unconfirmed",
         lambda *_: [],
         _silent_streams_at_an_end,
     ),
-    "silent streams are not replaced in time": Mutation(
+    "silent streams are not replaced": Mutation(
         _stream_watch.StreamWatch,
         "look",
         lambda *_: [],
@@ -369,12 +369,12 @@
 
 
 @pytest.mark.parametrize("name", MUTATIONS)
-def test_promises_hold_with_the_mechanism(name: str) -> None:
+def test_scenario_passes_with_the_mechanism(name: str) -> None:
     assert not MUTATIONS[name].scenario().violations
 
 
 @pytest.mark.parametrize("name", MUTATIONS)
-def test_promises_break_without_it(
+def test_scenario_fails_without_the_mechanism(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutation = MUTATIONS[name]
--- a/src/ferryledge/leases/tests/test_refused_calls.py
+++ b/src/ferryledge/leases/tests/test_refused_calls.py
@@ -1,7 +1,6 @@
-"""Calls to an endpoint that is down are new connections, and cost as such.
+"""Backoff of renewals while connections to the endpoint are refused.
 
-A renewal that was refused came again after 30 ms for as long as the endpoint
-was away: endpoints that went down and came back by turns cost thousands.
+Each of these calls opens a new connection.
 """
 
 import pytest
@@ -20,7 +19,7 @@
     return _endpoint.EndpointLink(_timing.LeaseTiming(), 0.0)
 
 
-def test_refused_calls_come_at_growing_distance(
+def test_backoff_of_refused_calls_grows_to_its_limit(
     link: _endpoint.EndpointLink,
 ) -> None:
     waits = []
@@ -31,7 +30,7 @@
     assert waits[0] < 0.05 and waits[-1] == waits[-2] == 0.25
 
 
-def test_a_call_without_an_answer_is_repeated_soon(
+def test_call_that_timed_out_is_repeated_without_backoff(
     link: _endpoint.EndpointLink,
 ) -> None:
     soon = link.renewal(1.0).retry_s
@@ -40,7 +39,7 @@
     assert link.renewal(1.0).retry_s == soon
 
 
-def test_endpoint_that_answers_again_is_called_as_before(
+def test_answer_resets_the_backoff(
     link: _endpoint.EndpointLink,
 ) -> None:
     soon = link.renewal(1.0).retry_s
--- a/src/ferryledge/leases/tests/test_restarts.py
+++ b/src/ferryledge/leases/tests/test_restarts.py
@@ -1,13 +1,7 @@
-"""An endpoint that starts again under the id that it had.
-
-Jobs were started at an endpoint 2.1 s after its agent had acknowledged that
-it drains. It had crashed and started again under its old id, so its
-heartbeats counted from 1 anew, and the agent dropped each of them as older
-than the last one that it had heard. The fixture below, as the agent logs it:
-"heartbeat passed over", number 3, draining, known number 5. Ends were counted
-on as well: the agent went on to confirm those up to number 422, so the
-endpoint told of none of the next ones. Of 191 runs there none was known to be
-done, and their tasks ran again elsewhere.
+"""An endpoint that restarts under the same id.
+
+Its heartbeats and ends are numbered from 1 again, so the agent must not
+compare them with those of the previous incarnation.
 """
 
 import msgspec
@@ -18,7 +12,7 @@
 from ferryledge import outcomes
 
 _AGENT = "agent-0"
-#: Seconds after which a run lapses at the latest once nobody renews it.
+#: Seconds after which a run that isn't renewed has expired.
 _LAPSE_S = 0.75
 
 
@@ -49,12 +43,12 @@
 
 @pytest.fixture
 def restarted(world: worlds.World) -> worlds.World:
-    """Return a world whose only endpoint started again under its id."""
+    """Return a world whose only endpoint restarted under the same id."""
     _start_again(world)
     return world
 
 
-def test_it_is_heard_when_it_drains(restarted: worlds.World) -> None:
+def test_draining_after_a_restart_is_noticed(restarted: worlds.World) -> None:
     restarted.endpoints[_AGENT].draining = True
     restarted.heartbeat(_AGENT)
     restarted.run(0.6)
@@ -64,7 +58,7 @@
     assert not restarted.violations
 
 
-def test_each_task_runs_once(restarted: worlds.World) -> None:
+def test_each_task_runs_once_after_a_restart(restarted: worlds.World) -> None:
     token = restarted.submit("entry-0", "a" * 16, count=6, work_s=0.05)
     restarted.run(1.0)
     assert _is_complete(restarted, token)
@@ -73,7 +67,7 @@
 
 @pytest.mark.parametrize("down_s", [0.0, 0.001, 0.02, 0.2])
 @pytest.mark.parametrize("after_s", [0.0004, 0.0012, 0.0018, 0.08, 0.2])
-def test_runs_of_before_are_over(
+def test_runs_of_the_previous_incarnation_are_lost(
     world: worlds.World, down_s: float, after_s: float
 ) -> None:
     token = world.submit("entry-0", "a" * 16, count=4, work_s=0.2)
@@ -85,7 +79,9 @@
     assert not world.endpoints[_AGENT].runs
 
 
-def test_it_serves_again_after_its_last_word(world: worlds.World) -> None:
+def test_endpoint_serves_again_after_an_announced_shutdown(
+    world: worlds.World,
+) -> None:
     seen = world.report_of(_AGENT, 1)
     left = leases.EndpointLeft(seen.endpoint_id, seen.born_ms)
     world.post(_AGENT, left)
@@ -95,7 +91,7 @@
     assert _is_complete(world, token)
 
 
-def test_last_word_of_a_start_before_changes_nothing(
+def test_late_announcement_of_the_previous_incarnation_is_ignored(
     world: worlds.World,
 ) -> None:
     seen = world.report_of(_AGENT, 1)
@@ -106,7 +102,7 @@
     assert _is_complete(world, token)
 
 
-def test_late_heartbeat_of_a_start_before_changes_nothing(
+def test_late_heartbeat_of_the_previous_incarnation_is_ignored(
     world: worlds.World,
 ) -> None:
     late = msgspec.structs.replace(
@@ -121,7 +117,7 @@
     assert _is_complete(world, token)
 
 
-def test_agent_that_recalls_the_start_before_hears_the_new_one(
+def test_agent_with_a_stored_heartbeat_notices_the_new_incarnation(
     world: worlds.World,
 ) -> None:
     world.kill(_AGENT, 2.0)
@@ -136,7 +132,7 @@
 
 
 @pytest.mark.parametrize("restarts", [1, 2])
-def test_leases_follow_its_new_clock(
+def test_leases_follow_the_new_clock(
     world: worlds.World, restarts: int
 ) -> None:
     for _ in range(restarts):
@@ -149,7 +145,7 @@
     assert not world.endpoints[_AGENT].runs
 
 
-def test_agent_that_starts_later_is_not_kept_out(
+def test_agent_that_starts_later_is_not_fenced_out(
     restarted: worlds.World,
 ) -> None:
     for _ in range(2):
@@ -161,15 +157,10 @@
     assert _is_complete(restarted, token)
 
 
-def test_calls_of_before_that_come_late_change_nothing(
+def test_late_calls_to_the_previous_incarnation_are_refused(
     world: worlds.World,
 ) -> None:
-    """What was carried out late after a restart started a task again.
-
-    In the simulation of faults in series with seed 157 an order that went
-    without an answer was carried out seconds later by the next start of its
-    endpoint, whose clock was behind: "drains, yet starts", at 14.2 and 16.1.
-    """
+    """A delayed call must not start a task again after a restart."""
     world.submit("entry-0", "c" * 16, count=1)
     world.run(1.0)
     before = _core(world).renewal(world.now)
@@ -192,7 +183,7 @@
     assert world.started["a" * 16] == 2
 
 
-def test_it_is_judged_anew(world: worlds.World) -> None:
+def test_restarted_endpoint_is_healthy_again(world: worlds.World) -> None:
     world.failing.add(f"endpoint-of-{_AGENT}")
     for number in range(4):
         world.submit("entry-0", f"b{number:015x}")
--- a/src/ferryledge/leases/tests/test_suspension.py
+++ b/src/ferryledge/leases/tests/test_suspension.py
@@ -1,9 +1,7 @@
-"""A machine that is suspended: no run goes on by a right that is over.
+"""After its machine was suspended an agent uses no expired grant or lease.
 
-The steady clock stands still meanwhile, so an agent that goes by it wakes
-with each grant that it had: 0.1 s old by its own reckoning, and 5 s old by
-that of the entry, which has long taken the run for over and ordered the task
-elsewhere. What an agent does with each right is shown here for 1, 5 and 30 s.
+The monotonic clock may stand still during a suspension, so grants and leases
+look younger than they are.
 """
 
 import pytest
@@ -16,7 +14,7 @@
 _JOB = "a" * 16
 _AGENT = "agent-0"
 _SPANS = [1.0, 5.0, 30.0]
-#: Of a lease, on an endpoint's clock.
+#: Duration of a lease on the endpoint's clock.
 _LEASE_MS = 650
 
 
@@ -50,23 +48,24 @@
 
 
 @pytest.mark.parametrize("slept_s", _SPANS)
-def test_order_from_before_starts_nothing(
+def test_order_sent_before_the_suspension_starts_nothing(
     world: worlds.World, slept_s: float
 ) -> None:
     order = _order(world)
     now = world.now + slept_s
     agent = _agent(world)
     endpoint = world.endpoints[_AGENT]
-    # The endpoint answers first, so that its clock is known and all is open.
+    # The endpoint answers first, so that its clock is known and the agent
+    # accepts orders.
     agent.receive(now, endpoint.renew(now, now, agent.renewal(now)))
     agent.receive(now, order)
     actions = agent.tick(now)
-    assert not any(isinstance(one, leases.StartRun) for one in actions)
+    assert not any(isinstance(action, leases.StartRun) for action in actions)
     assert not len(agent.runs)
 
 
 @pytest.mark.parametrize("slept_s", _SPANS)
-def test_runs_are_not_renewed_by_a_grant_from_before(
+def test_grant_from_before_the_suspension_renews_no_runs(
     world: worlds.World, slept_s: float
 ) -> None:
     world.submit("entry-0", _JOB, count=16, work_s=9.0)
@@ -75,15 +74,19 @@
     assert len(agent.runs)
     now = world.now + slept_s
     assert not agent.renewal(now).lease_until_ms
-    stops = [one for one in agent.tick(now) if isinstance(one, leases.StopRun)]
+    stops = [
+        action
+        for action in agent.tick(now)
+        if isinstance(action, leases.StopRun)
+    ]
     assert len(stops) == len(agent.runs)
 
 
 @pytest.mark.parametrize("slept_s", _SPANS)
-def test_lease_is_no_longer_though_the_endpoint_slept_too(
+def test_lease_is_not_longer_after_the_endpoint_was_suspended_too(
     world: worlds.World, slept_s: float
 ) -> None:
-    """Its clock stood still, and is behind what the agent reckons."""
+    """The endpoint's clock stood still and is behind the agent's estimate."""
     agent = _agent(world)
     endpoint = world.endpoints[_AGENT]
     woken_at = world.now
@@ -102,7 +105,7 @@
 def test_each_task_runs_once_at_a_time(
     world: worlds.World, who: str, slept_s: float
 ) -> None:
-    """All that was on its way is read when the machine wakes."""
+    """Messages sent during the suspension are processed after it."""
     tokens = [world.submit("entry-0", _JOB, count=12, work_s=1.5)]
     world.run(0.1)
     world.pause(who, slept_s)
