--- a/src/ferryledge/leases/tests/test_crashes.py
+++ b/src/ferryledge/leases/tests/test_crashes.py
@@ -85,7 +85,7 @@
     token = world.submit("entry-0", _JOB, 1, work_s=4.0, deadline_s=60.0)
     for _ in range(3):
         world.run(0.5)
-        busy = [agent for agent in _AGENTS if world.endpoints[agent].runs]
+        busy = [name for name in _AGENTS if world.endpoints[name].runs]
         for agent in busy:
             world.endpoints[agent].draining = True
             world.heartbeat(agent)
