--- a/src/ferryledge/leases/_agent_events.py
+++ b/src/ferryledge/leases/_agent_events.py
@@ -2,12 +2,12 @@
 
 import enum
 
-from ferryledge.leases import _lives
+from ferryledge.leases import _incarnations
 from ferryledge.leases import _runs
 from ferryledge import wire
 
 
-class EndpointSeen(wire.Event, frozen=True):
+class EndpointHeartbeat(wire.Event, frozen=True):
     """A heartbeat of the endpoint arrived.
 
     The agent stores it as JSON for its next start.
@@ -34,9 +34,9 @@
     @property
     def incarnation(self) -> str:
         """Identifies this start of the endpoint."""
-        return _lives.incarnation_of(self.endpoint_id, self.born_ms)
+        return _incarnations.incarnation_of(self.endpoint_id, self.born_ms)
 
-    def describes_as(self, other: "EndpointSeen") -> bool:
+    def has_same_description(self, other: "EndpointHeartbeat") -> bool:
         """Return whether both are equal but for times and numbers."""
         return (
             self.incarnation == other.incarnation
@@ -47,13 +47,13 @@
         )
 
 
-class EndpointRecalled(wire.Event, frozen=True):
+class EndpointRestored(wire.Event, frozen=True):
     """The heartbeat that an earlier start of this agent stored was read.
 
     It may be out of date; the endpoint's next heartbeat replaces it.
     """
 
-    seen: EndpointSeen
+    seen: EndpointHeartbeat
 
 
 class EndpointLeft(wire.Event, frozen=True):
@@ -66,7 +66,7 @@
     @property
     def incarnation(self) -> str:
         """Identifies this start of the endpoint."""
-        return _lives.incarnation_of(self.endpoint_id, self.born_ms)
+        return _incarnations.incarnation_of(self.endpoint_id, self.born_ms)
 
 
 class ListedRun(wire.Event, frozen=True):
@@ -182,8 +182,8 @@
 
 AgentEvent = (
     wire.StreamEvent
-    | EndpointSeen
-    | EndpointRecalled
+    | EndpointHeartbeat
+    | EndpointRestored
     | EndpointLeft
     | LeaseRenewed
     | LeaseNotRenewed
@@ -245,7 +245,7 @@
     peer: str
 
 
-class KeepStream(wire.Event, frozen=True):
+class CancelReopen(wire.Event, frozen=True):
     """Cancel the replacement of a stream, since the peer answered on it."""
 
     peer: str
@@ -257,29 +257,29 @@
     entries: tuple[wire.EntryAddress, ...]
 
 
-class LeaveEntry(wire.Event, frozen=True):
+class DisconnectEntry(wire.Event, frozen=True):
     """Close the stream to an entry, and don't reopen it."""
 
     name: str
 
 
-class RememberEndpoint(wire.Event, frozen=True):
+class SaveEndpoint(wire.Event, frozen=True):
     """Store a heartbeat for the agent's next start."""
 
-    seen: EndpointSeen
+    seen: EndpointHeartbeat
 
 
 AgentAction = (
     SendMessage
     | CloseStream
     | ReopenStream
-    | KeepStream
+    | CancelReopen
     | DialEntries
-    | LeaveEntry
+    | DisconnectEntry
     | StartRun
     | StopRun
     | ListRuns
-    | RememberEndpoint
+    | SaveEndpoint
 )
 
 
--- a/src/ferryledge/leases/_agent_notes.py
+++ b/src/ferryledge/leases/_agent_notes.py
@@ -1,7 +1,7 @@
 """The notes that an agent writes to the log and counts in its metrics."""
 
 from ferryledge.leases import _agent_events
-from ferryledge.leases import _dealing
+from ferryledge.leases import _entry_selection
 from ferryledge.leases import _meters
 from ferryledge.leases import _notes
 from ferryledge.leases import _owners
@@ -22,7 +22,7 @@
         super().__init__()
         self._meter = meter
 
-    def dealt(self, action: _dealing.Action, connected: int) -> None:
+    def dealt(self, action: _entry_selection.Action, connected: int) -> None:
         """Record that the agent changes the entries that it connects to.
 
         :param action: the change
@@ -33,7 +33,7 @@
                 self._served("entries chosen", "", connected, entries)
             case _agent_events.SendMessage(peer, _):
                 self._served("disconnect announced to entry", peer, connected)
-            case _agent_events.LeaveEntry(name):
+            case _agent_events.DisconnectEntry(name):
                 self._served("disconnected from entry", name, connected)
 
     def _served(
@@ -113,24 +113,24 @@
             runs_here=held,
         )
 
-    def suspected(self, now: float, owner: _owners.Owner) -> None:
+    def stream_suspected(self, now: float, owner: _owners.Owner) -> None:
         """Record that a stream is replaced, since no answer came in time."""
-        self._meter.suspected()
+        self._meter.stream_suspected()
         self.add(
             outcomes.Step.HEALTH,
             "no answer: opening a new stream",
             peer=owner.name,
             urgent=True,
-            unanswered_s=round(now - owner.oldest_owed_at, 3),
+            unanswered_s=round(now - owner.oldest_unanswered_at, 3),
             limit_s=round(owner.answer_times.limit_s, 3),
             unconfirmed_ends=len(owner.unconfirmed),
         )
 
-    def grant_ran_out(
+    def grant_expired(
         self, now: float, owner: _owners.Owner, row: _runs.RunRow
     ) -> None:
         """Record that a run is stopped, since its entry's grant expired."""
-        self._meter.grant_ran_out()
+        self._meter.grant_expired()
         self.add(
             outcomes.Step.LEASE,
             "run stopped: its entry's grant expired",
@@ -155,9 +155,9 @@
             held_s=round(now - row.ordered_at, 3),
         )
 
-    def unanswered(self, row: _runs.RunRow) -> None:
+    def order_unanswered(self, row: _runs.RunRow) -> None:
         """Record that the endpoint didn't answer a start; the run stops."""
-        self._meter.unanswered()
+        self._meter.order_unanswered()
         self.add(
             outcomes.Step.START,
             "start not answered: stopping the run",
@@ -189,7 +189,7 @@
             steady=steady,
         )
 
-    def recalled(self, seen: _agent_events.EndpointSeen) -> None:
+    def recalled(self, seen: _agent_events.EndpointHeartbeat) -> None:
         """Record that the stored heartbeat of the endpoint is used."""
         self.add(
             outcomes.Step.HEALTH,
@@ -199,17 +199,17 @@
             draining=seen.draining,
         )
 
-    def passed_over(
+    def heartbeat_ignored(
         self,
-        known: _agent_events.EndpointSeen | None,
-        event: _agent_events.EndpointSeen,
+        known: _agent_events.EndpointHeartbeat | None,
+        event: _agent_events.EndpointHeartbeat,
     ) -> None:
         """Record that a heartbeat was ignored, at least for now.
 
         :param known: the current heartbeat, if there is one
         :param event: the ignored one
         """
-        self._meter.heartbeat_passed_over()
+        self._meter.heartbeat_ignored()
         self.add(
             outcomes.Step.HEALTH,
             "heartbeat ignored",
@@ -225,8 +225,8 @@
 
     def seen(
         self,
-        known: _agent_events.EndpointSeen | None,
-        event: _agent_events.EndpointSeen,
+        known: _agent_events.EndpointHeartbeat | None,
+        event: _agent_events.EndpointHeartbeat,
     ) -> None:
         """Record a new incarnation of the endpoint or a start of draining.
 
--- a/src/ferryledge/leases/_dealing.py
+++ b/src/ferryledge/leases/_entry_selection.py
@@ -11,13 +11,13 @@
 import msgspec
 
 from ferryledge.leases import _agent_events
-from ferryledge.leases import _states
+from ferryledge.leases import _state_reports
 from ferryledge import placement
 from ferryledge import wire
 
 #: How many entries an agent serves. With fewer entries per agent, fewer
 #: compete for the same capacity.
-STREAMS = _states.HOMES
+STREAMS = _state_reports.MAX_PRIMARY_ENTRIES
 #: Seconds without a stream after which a substitute for an entry is dialled.
 #: A restart of the entry's process takes less.
 _LOST_S = 1.5
@@ -47,7 +47,7 @@
 
 Action = (
     _agent_events.DialEntries
-    | _agent_events.LeaveEntry
+    | _agent_events.DisconnectEntry
     | _agent_events.SendMessage
 )
 
@@ -283,4 +283,4 @@
         self._leaving.pop(name, None)
         if name in self._known:
             self._known[name].dialled = False
-        return _agent_events.LeaveEntry(name)
+        return _agent_events.DisconnectEntry(name)
--- a/src/ferryledge/leases/_owners.py
+++ b/src/ferryledge/leases/_owners.py
@@ -50,7 +50,7 @@
     heard_at: float = 0.0
     orders_seen: int = 0
     #: Whether it is one of the few entries that get prompt state reports.
-    home: bool = True
+    is_primary: bool = True
     #: The endpoint's state in the last report to the entry.
     told: wire.EndpointState | None = None
     #: The part of that state that all entries share.
@@ -68,7 +68,7 @@
     asked: int = 0
     asked_at: float = float("-inf")
     #: When each ask was sent that must be answered, by its number.
-    owed: dict[int, float] = msgspec.field(default_factory=dict)
+    unanswered_asks: dict[int, float] = msgspec.field(default_factory=dict)
     #: How long the entry's answers take.
     answer_times: _answer_times.AnswerTimes = msgspec.field(
         default_factory=lambda: _answer_times.AnswerTimes(
@@ -89,14 +89,14 @@
     )
 
     @property
-    def oldest_owed_at(self) -> float:
+    def oldest_unanswered_at(self) -> float:
         """When the oldest ask was sent that still must be answered."""
-        return next(iter(self.owed.values()), float("inf"))
+        return next(iter(self.unanswered_asks.values()), float("inf"))
 
     @property
     def silent_at(self) -> float:
         """When the stream counts as silent if no answer comes before."""
-        return self.oldest_owed_at + self.answer_times.limit_s
+        return self.oldest_unanswered_at + self.answer_times.limit_s
 
 
 class OwnerTable:
@@ -143,7 +143,7 @@
         return self._disconnected
 
     @property
-    def owing(self) -> abc.Collection[Owner]:
+    def awaiting_answer(self) -> abc.Collection[Owner]:
         """The entries with an ask that must be answered."""
         return self._owing.values()
 
@@ -168,7 +168,7 @@
         )
 
     def _owe_nothing(self, owner: Owner) -> None:
-        owner.owed.clear()
+        owner.unanswered_asks.clear()
         owner.reopening = False
         self._owing.pop(owner.incarnation, None)
 
@@ -177,15 +177,17 @@
 
         :return: whether one of them had to be answered
         """
-        if not owner.owed:
+        if not owner.unanswered_asks:
             return False
-        answered = [asked for asked in owner.owed if asked <= number]
+        answered = [
+            asked for asked in owner.unanswered_asks if asked <= number
+        ]
         if not answered:
             return False
-        owner.answer_times.note(now - owner.owed[answered[0]])
+        owner.answer_times.note(now - owner.unanswered_asks[answered[0]])
         for asked in answered:
-            del owner.owed[asked]
-        if not owner.owed:
+            del owner.unanswered_asks[asked]
+        if not owner.unanswered_asks:
             del self._owing[owner.incarnation]
         return True
 
@@ -226,7 +228,7 @@
         """Record an order's number and the grant that it carries."""
         owner.orders_seen = max(owner.orders_seen, order.number)
         self.changes += 1
-        self.granted(owner, order.ask_seen, order.less_ms)
+        self.granted(owner, order.ask_seen, order.shorten_by_ms)
         due = owner.granted_at + self._timing.idle_ask_every_s
         self._bring_forward(owner, due)
 
@@ -287,15 +289,15 @@
         owner.asked_at = now
         quiet = now - owner.heard_at >= self._timing.idle_answer_every_s
         if at_once or busy or quiet or owner.unconfirmed:
-            owner.owed[self._asked] = now
+            owner.unanswered_asks[self._asked] = now
             self._owing[owner.incarnation] = owner
         every = self._timing.ask_every_s
         if not busy:
             every = self._timing.idle_ask_every_s
-            if not owner.home:
+            if not owner.is_primary:
                 every = self._timing.far_ask_every_s
         owner.next_ask_at = self._next_beat(now, every)
-        return wire.AskLease(self._asked, self._asked in owner.owed)
+        return wire.AskLease(self._asked, self._asked in owner.unanswered_asks)
 
     def _next_beat(self, now: float, every: float) -> float:
         """Return when the next ask is due, the same time for all entries.
@@ -307,7 +309,9 @@
         beats = math.floor((soonest - self._phase * every) / every)
         return (beats + 1 + self._phase) * every
 
-    def granted(self, owner: Owner, number: int, less_ms: int = 0) -> None:
+    def granted(
+        self, owner: Owner, number: int, shorten_by_ms: int = 0
+    ) -> None:
         """Record a grant; an unknown or older one is ignored.
 
         It also confirms the ends that were sent before its ask, since
@@ -315,7 +319,7 @@
 
         :param owner: the entry
         :param number: number of the ask that it answers
-        :param less_ms: milliseconds by which the grant is shorter than usual
+        :param shorten_by_ms: milliseconds by which the grant is shortened
         """
         if owner.unconfirmed:
             owner.unconfirmed = [
@@ -324,7 +328,9 @@
         asked_at = owner.asks.pop(number, None)
         if asked_at is None:
             return
-        owner.granted_at = max(owner.granted_at, asked_at - less_ms / 1000.0)
+        owner.granted_at = max(
+            owner.granted_at, asked_at - shorten_by_ms / 1000.0
+        )
         for older in [asked for asked in owner.asks if asked < number]:
             del owner.asks[older]
 
