--- a/src/ferryledge/leases/_acceptance.py
+++ b/src/ferryledge/leases/_acceptance.py
@@ -45,10 +45,10 @@
     @property
     def free(self) -> wire.Resources:
         """Capacity of the endpoint that no run occupies."""
-        seen = self._link.seen
-        if seen is None:
+        heartbeat = self._link.heartbeat
+        if heartbeat is None:
             return wire.Resources()
-        return seen.capacity.minus(self._runs.held)
+        return heartbeat.capacity.minus(self._runs.held)
 
     def drain(self, until: float) -> None:
         """Accept only runs that end before this process shuts down.
@@ -79,12 +79,16 @@
 
     def is_open(self, now: float) -> bool:
         """Return whether new runs are accepted at all."""
-        seen = self._link.seen
-        if seen is None or seen.draining or self._time_left(now) <= 0.0:
+        heartbeat = self._link.heartbeat
+        if (
+            heartbeat is None
+            or heartbeat.draining
+            or self._time_left(now) <= 0.0
+        ):
             return False
         if self._cordons.covers(self._zone):
             return False
-        if not self._link.synced or not self._link.is_fresh(now):
+        if not self._link.synced or not self._link.was_renewed_recently(now):
             return False
         if self._link.is_down:
             # Another incarnation may be running when an order arrives.
@@ -94,8 +98,8 @@
 
     def remaining_s(self, now: float) -> float:
         """Return seconds until agent or endpoint stops; 0 is unlimited."""
-        seen = self._link.seen
-        endpoint_s = seen.remaining_s if seen is not None else 0.0
+        heartbeat = self._link.heartbeat
+        endpoint_s = heartbeat.remaining_s if heartbeat is not None else 0.0
         left = self._time_left(now)
         if left == _NEVER:
             return endpoint_s
--- a/src/ferryledge/leases/_agent.py
+++ b/src/ferryledge/leases/_agent.py
@@ -57,7 +57,7 @@
         self._runs = _runs.RunTable()
         self._notes = _agent_notes.AgentNotes(meter or _meters.AgentMeter())
         self._owners = _owners.OwnerTable(self._timing, name)
-        self._entry_selection = _entry_selection.Dealing(name)
+        self._entry_selection = _entry_selection.EntrySelection(name)
         self._actions: list[_agent_events.AgentAction] = []
         self._cordons = _cordons.Cordons()
         self._acceptance = _acceptance.Acceptance(
@@ -81,7 +81,7 @@
         self._watch = _stream_watch.StreamWatch(
             self._owners, self._notes, self._act
         )
-        self._grant_requests = _grant_requests.Asking(
+        self._grant_requests = _grant_requests.GrantRequests(
             self._owners, self._runs, self._watch, self._act
         )
         self._endpoint = _endpoint_watch.EndpointWatch(
@@ -142,15 +142,15 @@
         self._now = now
         was_open = self._acceptance.is_open(now)
         speed = self._endpoint.speed.reported_slowness
-        self._take_in(now, event)
+        self._handle(now, event)
         changed = (
             was_open != self._acceptance.is_open(now)
             or speed != self._endpoint.speed.reported_slowness
         )
-        if self._actions or changed or not self._is_quiet(event):
+        if self._actions or changed or not self._needs_no_tick(event):
             self._tick_by = now
 
-    def _is_quiet(self, event: _agent_events.AgentEvent) -> bool:
+    def _needs_no_tick(self, event: _agent_events.AgentEvent) -> bool:
         """Return whether an event needs no tick unless it changed something.
 
         These events are frequent, and ticks dominate the agent's CPU time.
@@ -168,7 +168,7 @@
             case _:
                 return False
 
-    def _take_in(self, now: float, event: _agent_events.AgentEvent) -> None:
+    def _handle(self, now: float, event: _agent_events.AgentEvent) -> None:
         match event:
             case wire.PeerUp(hello):
                 if hello.role is wire.Role.ENTRY:
@@ -180,7 +180,7 @@
                 self._owners.leave(name, incarnation)
                 self._entry_selection.leave(now, name)
             case _agent_events.EntriesFound(entries):
-                self._entry_selection.learn(now, entries)
+                self._entry_selection.add_addresses(now, entries)
             case wire.Received(peer, message):
                 self._on_message(now, peer, message)
             case _agent_events.AgentDrain(until):
@@ -195,13 +195,13 @@
         self._endpoint.check(now)
         self._run_stopper.tick(now, self._endpoint.unclaimed_since)
         if self._link.synced:
-            self._reports.tell_held()
+            self._reports.report_held()
         for action in self._entry_selection.plan(now, self._is_busy):
-            self._notes.dealt(action, len(self._owners.connected))
+            self._notes.selection_changed(action, len(self._owners.connected))
             self._act(action)
         self._grant_requests.tick(now)
-        self._reports.tell_late(now, self._endpoint.speed)
-        self._reports.tell_state(now, self._state())
+        self._reports.report_late(now, self._endpoint.speed)
+        self._reports.report_state(now, self._state())
         actions = self._actions
         self._actions = []
         return actions
@@ -263,16 +263,16 @@
             case wire.ClaimRuns(runs):
                 self._on_claim(owner, runs)
             case wire.RoomWanted(start_by_s):
-                owner.wanted_by = now + (
+                owner.latest_start = now + (
                     _NEVER if start_by_s is None else start_by_s
                 )
             case wire.GrantLease(number, shorten_by_ms):
                 self._watch.note_answer(now, owner, number)
-                self._owners.granted(owner, number, shorten_by_ms)
+                self._owners.note_grant(owner, number, shorten_by_ms)
             case wire.CordonedZones():
                 self._on_cordons(owner, message)
             case wire.EntryList() | wire.Invite():
-                self._entry_selection.hear(now, message)
+                self._entry_selection.handle_message(now, message)
             case _:
                 return
 
@@ -283,7 +283,9 @@
         if self._cordons.is_behind(state):
             self._send(owner, self._cordons.state)
         if self._cordons.learn(state):
-            self._notes.cordoned(state, self._cordons.covers(self._zone))
+            self._notes.cordons_changed(
+                state, self._cordons.covers(self._zone)
+            )
 
     def _on_order(
         self, now: float, owner: _owners.Owner, order: wire.OrderRuns
@@ -299,25 +301,27 @@
         if spec is None:
             self._refuse(now, owner, order, wire.NotStarted.REJECTED)
             return
-        full = []
+        refused = []
         started = 0
         for run in order.runs:
             key = _runs.RunKey.of(order.job, run)
             if self._runs.find(key) is not None:
                 continue
-            room = order.need.fits_in(self._acceptance.free)
-            if not room or self._runs.has_task(key):
-                full.append(run)
+            fits = order.need.fits_in(self._acceptance.free)
+            if not fits or self._runs.has_task(key):
+                refused.append(run)
                 continue
             started += 1
             self._start(now, owner, key, order, spec)
-        whole = started == len(order.runs)
-        self._owners.note_taken(now, owner, order, whole)
+        all_started = started == len(order.runs)
+        self._owners.note_started(now, owner, order, all_started)
         free = self._acceptance.free
-        self._notes.taken(owner, order, len(full), free, len(self._runs))
-        if full:
-            self._reports.tell_released(
-                owner, order.job, full, wire.NotStarted.FULL
+        self._notes.order_accepted(
+            owner, order, len(refused), free, len(self._runs)
+        )
+        if refused:
+            self._reports.report_released(
+                owner, order.job, refused, wire.NotStarted.FULL
             )
 
     def _refuse(
@@ -328,8 +332,8 @@
         reason: wire.NotStarted,
     ) -> None:
         """Refuse all runs of an order."""
-        self._notes.released(now, owner, order, reason)
-        self._reports.tell_released(owner, order.job, order.runs, reason)
+        self._notes.order_refused(now, owner, order, reason)
+        self._reports.report_released(owner, order.job, order.runs, reason)
 
     def _start(
         self,
@@ -378,14 +382,14 @@
 
     def _state(self) -> wire.EndpointState:
         """Return the part of the endpoint's state that all entries share."""
-        seen = self._link.seen
-        if seen is None:
+        heartbeat = self._link.heartbeat
+        if heartbeat is None:
             return wire.EndpointState(is_primary=False)
         return wire.EndpointState(
-            seen.incarnation,
-            seen.service,
-            seen.labels,
-            seen.capacity,
+            heartbeat.incarnation,
+            heartbeat.service,
+            heartbeat.labels,
+            heartbeat.capacity,
             self._acceptance.free,
             self._acceptance.is_open(self._now),
             remaining_s=self._acceptance.remaining_s(self._now),
--- a/src/ferryledge/leases/_agent_events.py
+++ b/src/ferryledge/leases/_agent_events.py
@@ -53,7 +53,7 @@
     It may be out of date; the endpoint's next heartbeat replaces it.
     """
 
-    seen: EndpointHeartbeat
+    heartbeat: EndpointHeartbeat
 
 
 class EndpointLeft(wire.Event, frozen=True):
@@ -266,7 +266,7 @@
 class SaveEndpoint(wire.Event, frozen=True):
     """Store a heartbeat for the agent's next start."""
 
-    seen: EndpointHeartbeat
+    heartbeat: EndpointHeartbeat
 
 
 AgentAction = (
--- a/src/ferryledge/leases/_agent_notes.py
+++ b/src/ferryledge/leases/_agent_notes.py
@@ -22,7 +22,9 @@
         super().__init__()
         self._meter = meter
 
-    def dealt(self, action: _entry_selection.Action, connected: int) -> None:
+    def selection_changed(
+        self, action: _entry_selection.Action, connected: int
+    ) -> None:
         """Record that the agent changes the entries that it connects to.
 
         :param action: the change
@@ -30,13 +32,15 @@
         """
         match action:
             case _agent_events.DialEntries(entries):
-                self._served("entries chosen", "", connected, entries)
+                self._add_entries("entries chosen", "", connected, entries)
             case _agent_events.SendMessage(peer, _):
-                self._served("disconnect announced to entry", peer, connected)
+                self._add_entries(
+                    "disconnect announced to entry", peer, connected
+                )
             case _agent_events.DisconnectEntry(name):
-                self._served("disconnected from entry", name, connected)
+                self._add_entries("disconnected from entry", name, connected)
 
-    def _served(
+    def _add_entries(
         self,
         message: str,
         peer: str,
@@ -51,7 +55,7 @@
             entries=[entry.name for entry in entries],
         )
 
-    def cordoned(self, state: wire.CordonedZones, own: bool) -> None:
+    def cordons_changed(self, state: wire.CordonedZones, own: bool) -> None:
         """Record a change of the cordoned zones.
 
         :param state: the zones that are cordoned now
@@ -65,7 +69,7 @@
             log_end=state.version,
         )
 
-    def released(
+    def order_refused(
         self,
         now: float,
         owner: _owners.Owner,
@@ -83,34 +87,34 @@
             grant_age_s=round(now - owner.granted_at, 3),
         )
 
-    def taken(
+    def order_accepted(
         self,
         owner: _owners.Owner,
         order: wire.OrderRuns,
-        full: int,
+        refused_count: int,
         free: wire.Resources,
-        held: int,
+        run_count: int,
     ) -> None:
         """Record that an order was accepted, as far as capacity allowed.
 
         :param owner: the entry that sent it
         :param order: the order
-        :param full: how many of its runs were refused for lack of capacity
+        :param refused_count: how many of its runs were not started
         :param free: the endpoint's free capacity afterwards
-        :param held: how many runs the agent has afterwards
+        :param run_count: how many runs the agent has afterwards
         """
-        self._meter.order("", len(order.runs) - full)
-        if full:
-            self._meter.order(str(wire.NotStarted.FULL), full)
+        self._meter.order("", len(order.runs) - refused_count)
+        if refused_count:
+            self._meter.order(str(wire.NotStarted.FULL), refused_count)
         self.add(
             outcomes.Step.START,
             "order taken",
             order.job,
             owner.name,
-            started=len(order.runs) - full,
-            without_room=full,
+            started=len(order.runs) - refused_count,
+            without_room=refused_count,
             free_cpu_millis=free.cpu_millis,
-            runs_here=held,
+            runs_here=run_count,
         )
 
     def stream_suspected(self, now: float, owner: _owners.Owner) -> None:
@@ -140,7 +144,9 @@
             grant_age_s=round(now - owner.granted_at, 3),
         )
 
-    def over(self, now: float, row: _runs.RunRow, how: wire.HowEnded) -> None:
+    def run_ended(
+        self, now: float, row: _runs.RunRow, how: wire.HowEnded
+    ) -> None:
         """Record that a run ended."""
         self._meter.over(how, now - row.ordered_at)
         self.add(
@@ -175,7 +181,7 @@
         """
         self._meter.renewed(str(fault.value) if fault else "")
 
-    def back(self, away_s: float, steady: float) -> None:
+    def outage_ended(self, away_s: float, steady: float) -> None:
         """Record that the endpoint returned from an unannounced outage.
 
         :param away_s: duration of the outage in seconds
@@ -189,14 +195,16 @@
             steady=steady,
         )
 
-    def recalled(self, seen: _agent_events.EndpointHeartbeat) -> None:
+    def heartbeat_restored(
+        self, heartbeat: _agent_events.EndpointHeartbeat
+    ) -> None:
         """Record that the stored heartbeat of the endpoint is used."""
         self.add(
             outcomes.Step.HEALTH,
             "endpoint restored from the store",
-            peer=seen.incarnation,
-            capacity_cpu_millis=seen.capacity.cpu_millis,
-            draining=seen.draining,
+            peer=heartbeat.incarnation,
+            capacity_cpu_millis=heartbeat.capacity.cpu_millis,
+            draining=heartbeat.draining,
         )
 
     def heartbeat_ignored(
@@ -223,7 +231,7 @@
             known_born_ms=known.born_ms if known else 0,
         )
 
-    def seen(
+    def endpoint_changed(
         self,
         known: _agent_events.EndpointHeartbeat | None,
         event: _agent_events.EndpointHeartbeat,
--- a/src/ferryledge/leases/_crashes.py
+++ b/src/ferryledge/leases/_crashes.py
@@ -13,14 +13,14 @@
 
 #: Crashes within this many seconds may have a common cause. Agents detect a
 #: crash within a lease and report it at once.
-_COMMON_S = 1.0
+_SAME_CAUSE_S = 1.0
 #: Sum of blame at which a task fails; each endpoint adds at most 1.
-_MOST_BLAME = 2.0
+_MAX_BLAME = 2.0
 #: Crashes after which a task fails whatever their cause, also if they are
 #: all of one endpoint.
-_MOST = 5
+_MAX_CRASHES = 5
 #: Seconds for which crashes are kept; most jobs take less.
-_REMEMBER_S = 60.0
+_KEEP_S = 60.0
 
 
 class Crash(msgspec.Struct, frozen=True):
@@ -33,7 +33,7 @@
     jobs: int
 
 
-class _Record(msgspec.Struct):
+class _CrashRecord(msgspec.Struct):
     """A crash and the jobs of this entry that lost runs by it."""
 
     crash: Crash
@@ -44,7 +44,7 @@
     """Records recent crashes of endpoints and the jobs that ran there."""
 
     def __init__(self) -> None:
-        self._records: list[_Record] = []
+        self._records: list[_CrashRecord] = []
 
     def note(self, now: float, agent: str, job: str, jobs: int) -> Crash:
         """Record that a run was lost in a crash of its endpoint.
@@ -56,14 +56,14 @@
         :return: the crash, the same object for all runs that it ended
         """
         self._records = [
-            kept for kept in self._records if now - kept.crash.at < _REMEMBER_S
+            kept for kept in self._records if now - kept.crash.at < _KEEP_S
         ]
         for record in self._records:
-            same = record.crash.agent == agent
-            if same and now - record.crash.at < _COMMON_S:
+            same_agent = record.crash.agent == agent
+            if same_agent and now - record.crash.at < _SAME_CAUSE_S:
                 record.jobs.add(job)
                 return record.crash
-        record = _Record(Crash(now, agent, jobs), {job})
+        record = _CrashRecord(Crash(now, agent, jobs), {job})
         self._records.append(record)
         return record.crash
 
@@ -76,18 +76,20 @@
         blame = {
             crash.agent: 1.0 / crash.jobs
             for crash in crashes
-            if not self._is_common(job, crash)
+            if not self._has_common_cause(job, crash)
         }
-        return sum(blame.values()) >= _MOST_BLAME or len(crashes) >= _MOST
+        return (
+            sum(blame.values()) >= _MAX_BLAME or len(crashes) >= _MAX_CRASHES
+        )
 
-    def _is_common(self, job: str, crash: Crash) -> bool:
+    def _has_common_cause(self, job: str, crash: Crash) -> bool:
         """Return whether endpoints without the job crashed at that time.
 
         Then the job is unlikely to be the cause.
         """
         return any(
             record.crash.agent != crash.agent
-            and abs(record.crash.at - crash.at) < _COMMON_S
+            and abs(record.crash.at - crash.at) < _SAME_CAUSE_S
             and job not in record.jobs
             for record in self._records
         )
--- a/src/ferryledge/leases/_endpoint.py
+++ b/src/ferryledge/leases/_endpoint.py
@@ -25,10 +25,10 @@
 #: delayed heartbeats.
 _REPLACED_KEPT = 15
 #: Faults after which another incarnation may answer the next call.
-_GONE = (_agent_events.CallFault.DOWN, _agent_events.CallFault.BROKEN)
+_DOWN_FAULTS = (_agent_events.CallFault.DOWN, _agent_events.CallFault.BROKEN)
 
 
-class Change(enum.Enum):
+class IncarnationChange(enum.Enum):
     """Whether and how the endpoint's incarnation changed."""
 
     NONE = "none"
@@ -48,7 +48,7 @@
     def __init__(self, timing: _timing.LeaseTiming, now: float) -> None:
         self._timing = timing
         #: The last heartbeat of the current incarnation.
-        self.seen: _agent_events.EndpointHeartbeat | None = None
+        self.heartbeat: _agent_events.EndpointHeartbeat | None = None
         #: Whether the current incarnation has listed its runs.
         self.synced = False
         #: Number of the last end that was processed.
@@ -70,9 +70,9 @@
         self._retry_s = _RETRY_S
         #: The current incarnation, if any, and the last known one.
         self._incarnation = ""
-        self._last = ""
+        self._last_incarnation = ""
         #: The last incarnation that announced its shutdown.
-        self._left = ""
+        self._shut_down_incarnation = ""
         #: Latest heartbeat of a possible successor, and when its first came.
         self._candidate: _agent_events.EndpointHeartbeat | None = None
         self._candidate_at = now
@@ -87,7 +87,7 @@
     @property
     def is_down(self) -> bool:
         """Whether the last renewal failed as if the endpoint were down."""
-        return self._fault in _GONE
+        return self._fault in _DOWN_FAULTS
 
     @property
     def token(self) -> int:
@@ -121,7 +121,9 @@
         self.note_clock(clock_ms, now)
         self._token = max(2 * self._token, self.clock_ms(now))
 
-    def see(self, seen: _agent_events.EndpointHeartbeat, now: float) -> Change:
+    def receive_heartbeat(
+        self, heartbeat: _agent_events.EndpointHeartbeat, now: float
+    ) -> IncarnationChange:
         """Process a heartbeat.
 
         A heartbeat of another incarnation than the current one is either of
@@ -131,60 +133,64 @@
 
         :return: whether the incarnation changed
         """
-        if self._is_gone(seen.incarnation):
-            return Change.NONE
+        if self._is_former(heartbeat.incarnation):
+            return IncarnationChange.NONE
         if not self._incarnation:
-            return self._take(seen, now)
-        if seen.incarnation != self._incarnation:
-            self._propose(seen, now)
-        elif self.seen is None or seen.number >= self.seen.number:
-            self._note(seen, now)
-        return Change.NONE
-
-    def _note(self, seen: _agent_events.EndpointHeartbeat, now: float) -> None:
-        self.seen = seen
-        self._warm_at = now + seen.cold_s
-        self.note_clock(seen.clock_ms, now)
-
-    def recall(
-        self, seen: _agent_events.EndpointHeartbeat, now: float
+            return self._accept(heartbeat, now)
+        if heartbeat.incarnation != self._incarnation:
+            self._update_candidate(heartbeat, now)
+        elif (
+            self.heartbeat is None or heartbeat.number >= self.heartbeat.number
+        ):
+            self._update_heartbeat(heartbeat, now)
+        return IncarnationChange.NONE
+
+    def _update_heartbeat(
+        self, heartbeat: _agent_events.EndpointHeartbeat, now: float
+    ) -> None:
+        self.heartbeat = heartbeat
+        self._warm_at = now + heartbeat.cold_s
+        self.note_clock(heartbeat.clock_ms, now)
+
+    def restore(
+        self, heartbeat: _agent_events.EndpointHeartbeat, now: float
     ) -> bool:
         """Use a stored heartbeat, unless a newer one has come already.
 
         :return: whether it is used
         """
-        if self._is_gone(seen.incarnation):
+        if self._is_former(heartbeat.incarnation):
             return False
         if self._incarnation:
-            if self._incarnation != seen.incarnation:
-                self._propose(seen, now)
+            if self._incarnation != heartbeat.incarnation:
+                self._update_candidate(heartbeat, now)
             return False
-        self.seen = seen
-        self._incarnation = self._last = seen.incarnation
+        self.heartbeat = heartbeat
+        self._incarnation = self._last_incarnation = heartbeat.incarnation
         return True
 
-    def refute(self, now: float) -> Change:
+    def handle_replacement(self, now: float) -> IncarnationChange:
         """Drop the current incarnation, since another id answered.
 
         The candidate succeeds it, unless both have the same id.
 
         :return: how the incarnation changed
         """
-        refuted = self._incarnation
-        if not refuted:
-            return Change.NONE
-        self._note_replaced(refuted)
+        replaced = self._incarnation
+        if not replaced:
+            return IncarnationChange.NONE
+        self._note_replaced(replaced)
         self._incarnation = ""
-        self.seen = None
+        self.heartbeat = None
         candidate = self._pop_candidate()
         if candidate is not None and not _share_id(
-            candidate.incarnation, refuted
+            candidate.incarnation, replaced
         ):
-            return self._take(candidate, now)
-        self._start_anew()
-        return Change.REPLACED
+            return self._accept(candidate, now)
+        self._reset()
+        return IncarnationChange.REPLACED
 
-    def answered(self, born_ms: int, now: float) -> Change:
+    def note_start_time(self, born_ms: int, now: float) -> IncarnationChange:
         """Process the start time in an endpoint's answer.
 
         :param born_ms: Unix time in ms of the start of the endpoint that
@@ -193,43 +199,47 @@
         :return: whether the endpoint restarted since the last answer
         """
         if not self._incarnation or not born_ms:
-            return Change.NONE
+            return IncarnationChange.NONE
         endpoint_id = _incarnations.endpoint_id_of(self._incarnation)
         answered_as = _incarnations.incarnation_of(endpoint_id, born_ms)
         if answered_as == self._incarnation:
-            return Change.NONE
+            return IncarnationChange.NONE
         candidate = self._pop_candidate()
         if candidate is not None and candidate.incarnation == answered_as:
-            return self._take(candidate, now)
-        self.seen = None
+            return self._accept(candidate, now)
+        self.heartbeat = None
         return self._succeed(answered_as)
 
-    def give_way(self, now: float) -> Change:
+    def replace_unresponsive(self, now: float) -> IncarnationChange:
         """Replace an unresponsive incarnation by the candidate, if any.
 
         :return: how the incarnation changed
         """
         waited = now - self._candidate_at > self._timing.lease_s
-        if not waited or not self.is_dark(now):
-            return Change.NONE
-        seen = self._pop_candidate()
-        return Change.NONE if seen is None else self._take(seen, now)
+        if not waited or not self.is_unresponsive(now):
+            return IncarnationChange.NONE
+        heartbeat = self._pop_candidate()
+        return (
+            IncarnationChange.NONE
+            if heartbeat is None
+            else self._accept(heartbeat, now)
+        )
 
-    def _is_gone(self, incarnation: str) -> bool:
-        return incarnation in (self._left, *self._replaced)
+    def _is_former(self, incarnation: str) -> bool:
+        return incarnation in (self._shut_down_incarnation, *self._replaced)
 
     def _note_replaced(self, incarnation: str) -> None:
         self._replaced = [*self._replaced[-_REPLACED_KEPT:], incarnation]
 
-    def _propose(
-        self, seen: _agent_events.EndpointHeartbeat, now: float
+    def _update_candidate(
+        self, heartbeat: _agent_events.EndpointHeartbeat, now: float
     ) -> None:
         known = self._candidate
-        if known is None or known.incarnation != seen.incarnation:
+        if known is None or known.incarnation != heartbeat.incarnation:
             self._candidate_at = now
-        elif seen.number < known.number:
+        elif heartbeat.number < known.number:
             return
-        self._candidate = seen
+        self._candidate = heartbeat
 
     def _pop_candidate(self) -> _agent_events.EndpointHeartbeat | None:
         """Return the candidate, if any, and clear it."""
@@ -237,33 +247,33 @@
         self._candidate = None
         return candidate
 
-    def _take(
-        self, seen: _agent_events.EndpointHeartbeat, now: float
-    ) -> Change:
-        change = self._succeed(seen.incarnation)
-        self._note(seen, now)
+    def _accept(
+        self, heartbeat: _agent_events.EndpointHeartbeat, now: float
+    ) -> IncarnationChange:
+        change = self._succeed(heartbeat.incarnation)
+        self._update_heartbeat(heartbeat, now)
         return change
 
-    def _succeed(self, incarnation: str) -> Change:
+    def _succeed(self, incarnation: str) -> IncarnationChange:
         """Make an incarnation the current one."""
-        last = self._last
+        last = self._last_incarnation
         if self._incarnation:
             self._note_replaced(self._incarnation)
-        self._incarnation = self._last = incarnation
+        self._incarnation = self._last_incarnation = incarnation
         if last in ("", incarnation):
-            return Change.NONE
+            return IncarnationChange.NONE
         if not _share_id(last, incarnation):
-            self._start_anew()
-            return Change.REPLACED
+            self._reset()
+            return IncarnationChange.REPLACED
         # The new one accepts delayed calls that were meant for the old one.
         # A higher fencing token makes it refuse their starts and
         # acknowledgements.
         token = self._token
-        self._start_anew()
+        self._reset()
         self._token = token + 1 if token else 0
-        return Change.RESTARTED
+        return IncarnationChange.RESTARTED
 
-    def _start_anew(self) -> None:
+    def _reset(self) -> None:
         """Reset what is known of the previous incarnation."""
         self.acknowledged = 0
         self.synced = False
@@ -272,16 +282,16 @@
         self._renewed_at = float("-inf")
         self._warm_at = float("-inf")
 
-    def leave(self, incarnation: str) -> bool:
+    def note_shutdown(self, incarnation: str) -> bool:
         """Process the announcement that an incarnation shuts down.
 
         :return: whether it was the current one
         """
         if self._incarnation != incarnation:
             return False
-        self._left = incarnation
+        self._shut_down_incarnation = incarnation
         self._incarnation = ""
-        self.seen = None
+        self.heartbeat = None
         return True
 
     def lease_until_ms(self, now: float) -> int:
@@ -295,18 +305,18 @@
     def renewal(self, now: float) -> _agent_events.Renewal:
         """Return the arguments of the next renewal call."""
         lease_until_ms = 0
-        is_sure = self.synced and not self.is_down
-        if self._token and is_sure and not self.is_dark(now):
+        may_renew = self.synced and not self.is_down
+        if self._token and may_renew and not self.is_unresponsive(now):
             lease_until_ms = self.lease_until_ms(now)
         # Another incarnation may answer, whose ends have the same numbers.
         # Acknowledged unread they would be lost, and their tasks run twice.
-        is_known = self._fault is None and self.is_fresh(now)
+        is_reachable = self._fault is None and self.was_renewed_recently(now)
         return _agent_events.Renewal(
             self.incarnation,
             lease_until_ms,
             self._token,
-            self.acknowledged if is_known else 0,
-            _WAIT_MS if self.synced and is_known else 0,
+            self.acknowledged if is_reachable else 0,
+            _WAIT_MS if self.synced and is_reachable else 0,
             self._answer_times.limit_s,
             self._retry_s,
         )
@@ -340,16 +350,16 @@
         """Return whether the endpoint is still warming up."""
         return now < self._warm_at
 
-    def is_fresh(self, now: float) -> bool:
+    def was_renewed_recently(self, now: float) -> bool:
         """Return whether a renewal succeeded recently."""
-        lately = _FRESH_SHARE * self._timing.lease_s
-        return now - self._renewed_at < lately
+        recent_s = _FRESH_SHARE * self._timing.lease_s
+        return now - self._renewed_at < recent_s
 
-    def is_dark(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Return whether no renewal succeeded for the time of a lease."""
         return now - self._renewed_at > self._timing.lease_s
 
-    def is_over(self, now: float) -> bool:
+    def all_leases_expired(self, now: float) -> bool:
         """Return whether all leases on runs have expired.
 
         No lease is sent while the endpoint is unresponsive, so the last one
@@ -357,7 +367,7 @@
         """
         lease_s = self._timing.lease_s * (1.0 + _timing.CLOCK_DRIFT)
         last = self._leased_at + lease_s + _MARGIN_S
-        return self.is_dark(now) and now > last
+        return self.is_unresponsive(now) and now > last
 
 
 def _share_id(first: str, second: str) -> bool:
--- a/src/ferryledge/leases/_endpoint_watch.py
+++ b/src/ferryledge/leases/_endpoint_watch.py
@@ -17,7 +17,7 @@
 
 Act = abc.Callable[[_agent_events.AgentAction], None]
 #: Reason that an entry gets for a run that the endpoint didn't start.
-_RELEASES = {
+_RELEASE_REASONS = {
     _agent_events.StartResult.FENCED: wire.NotStarted.REJECTED,
     _agent_events.StartResult.RUN_NUMBER: wire.NotStarted.RUN_NUMBER,
     _agent_events.StartResult.LATE: wire.NotStarted.NO_ANSWER,
@@ -29,7 +29,7 @@
 }
 
 #: Ends that count for an endpoint's failure rate.
-_SPEAKS = (wire.HowEnded.DONE, wire.HowEnded.FAILED)
+_COUNTED_ENDS = (wire.HowEnded.DONE, wire.HowEnded.FAILED)
 
 
 class EndpointWatch:
@@ -40,7 +40,7 @@
     :param runs: the runs at the endpoint
     :param link: what is known of the endpoint and its lease
     :param owners: the entries and their grants
-    :param stopping: stops runs
+    :param run_stopper: stops runs
     :param reports: sends reports to entries
     :param notes: records decisions for the log
     :param answer_times: latency of calls that start runs
@@ -53,7 +53,7 @@
         runs: _runs.RunTable,
         link: _endpoint.EndpointLink,
         owners: _owners.OwnerTable,
-        stopping: _run_stopper.RunStopper,
+        run_stopper: _run_stopper.RunStopper,
         reports: _reports.Reports,
         notes: _agent_notes.AgentNotes,
         answer_times: _answer_times.AnswerTimes,
@@ -63,7 +63,7 @@
         self._runs = runs
         self._link = link
         self._owners = owners
-        self._run_stopper = stopping
+        self._run_stopper = run_stopper
         self._reports = reports
         self._notes = notes
         self._answer_times = answer_times
@@ -77,24 +77,26 @@
         #: Since when there are runs that no entry has claimed.
         self.unclaimed_since = now
         #: Whether the endpoint announced its shutdown.
-        self._announced = False
+        self._shutdown_announced = False
         #: The endpoint's clock in the latest list of runs.
         self._listed_clock_ms = 0
         #: The heartbeat that was last stored for this agent's next start, or
         #: a later one without changes.
-        self._kept: _agent_events.EndpointHeartbeat | None = None
+        self._saved_heartbeat: _agent_events.EndpointHeartbeat | None = None
 
     def receive(self, now: float, event: _agent_events.AgentEvent) -> None:
         """Process a heartbeat, an answer or a failed call."""
         match event:
             case _agent_events.EndpointHeartbeat():
-                self._on_seen(now, event)
-            case _agent_events.EndpointRestored(seen):
-                if self._link.recall(seen, now):
-                    self._kept = seen
-                    self._notes.recalled(seen)
+                self._on_heartbeat(now, event)
+            case _agent_events.EndpointRestored(heartbeat):
+                if self._link.restore(heartbeat, now):
+                    self._saved_heartbeat = heartbeat
+                    self._notes.heartbeat_restored(heartbeat)
             case _agent_events.EndpointLeft():
-                self._announced |= self._link.leave(event.incarnation)
+                self._shutdown_announced |= self._link.note_shutdown(
+                    event.incarnation
+                )
             case _agent_events.LeaseRenewed():
                 self._on_renewed(now, event)
             case _agent_events.LeaseNotRenewed():
@@ -105,53 +107,60 @@
                 if confirmed and incarnation == self._link.incarnation:
                     self._run_stopper.confirmed(now, key)
 
-    def _on_seen(
-        self, now: float, seen: _agent_events.EndpointHeartbeat
+    def _on_heartbeat(
+        self, now: float, heartbeat: _agent_events.EndpointHeartbeat
     ) -> None:
-        known = self._link.seen
-        self._follow(now, self._link.see(seen, now))
-        self._note_endpoint(known)
-        if self._link.seen is not None:
-            self._announced = self._link.seen.draining
-        if self._link.seen is not seen:
-            self._notes.heartbeat_ignored(self._link.seen, seen)
-        if self._kept and self._kept.incarnation == self._link.incarnation:
-            self._keep_endpoint()
+        known = self._link.heartbeat
+        self._apply_change(now, self._link.receive_heartbeat(heartbeat, now))
+        self._log_heartbeat(known)
+        if self._link.heartbeat is not None:
+            self._shutdown_announced = self._link.heartbeat.draining
+        if self._link.heartbeat is not heartbeat:
+            self._notes.heartbeat_ignored(self._link.heartbeat, heartbeat)
+        if (
+            self._saved_heartbeat
+            and self._saved_heartbeat.incarnation == self._link.incarnation
+        ):
+            self._save_heartbeat()
 
-    def _note_endpoint(
+    def _log_heartbeat(
         self, known: _agent_events.EndpointHeartbeat | None
     ) -> None:
         """Log the current heartbeat if it is another than before."""
-        seen = self._link.seen
-        if seen is not None and seen is not known:
-            self._notes.seen(known, seen)
+        heartbeat = self._link.heartbeat
+        if heartbeat is not None and heartbeat is not known:
+            self._notes.endpoint_changed(known, heartbeat)
 
-    def _keep_endpoint(self) -> None:
+    def _save_heartbeat(self) -> None:
         """Store the current heartbeat if it differs from the stored one."""
-        seen = self._link.seen
-        if seen is None or seen is self._kept:
+        heartbeat = self._link.heartbeat
+        if heartbeat is None or heartbeat is self._saved_heartbeat:
             return
-        if self._kept is None or not seen.has_same_description(self._kept):
-            self._act(_agent_events.SaveEndpoint(seen))
-        self._kept = seen
+        if self._saved_heartbeat is None or not heartbeat.has_same_description(
+            self._saved_heartbeat
+        ):
+            self._act(_agent_events.SaveEndpoint(heartbeat))
+        self._saved_heartbeat = heartbeat
 
-    def _follow(self, now: float, change: _endpoint.Change) -> None:
+    def _apply_change(
+        self, now: float, change: _endpoint.IncarnationChange
+    ) -> None:
         """Drop the runs and statistics of a replaced incarnation."""
         match change:
-            case _endpoint.Change.NONE:
+            case _endpoint.IncarnationChange.NONE:
                 return
-            case _endpoint.Change.REPLACED:
+            case _endpoint.IncarnationChange.REPLACED:
                 self._lose_all(now)
-            case _endpoint.Change.RESTARTED:
+            case _endpoint.IncarnationChange.RESTARTED:
                 self._lose_listed(now)
         self.speed = _speed.EndpointSpeed()
         self._listed_clock_ms = 0
         self.failure_rates.forget()
-        if not self._announced:
+        if not self._shutdown_announced:
             self.outages.note_down(now, started_anew=True)
 
     def _lose_listed(self, now: float) -> None:
-        """End the runs as lost that the previous incarnation has listed.
+        """End as lost the runs that the previous incarnation listed.
 
         The others may not have started yet, and the new incarnation may
         still execute their delayed start calls. They are stopped.
@@ -165,12 +174,12 @@
 
     def check(self, now: float) -> None:
         """Apply timeouts; to be called in each tick."""
-        known = self._link.seen
-        change = self._link.give_way(now)
-        if change is not _endpoint.Change.NONE:
-            self._follow(now, change)
-            self._note_endpoint(known)
-        if not self._link.is_over(now):
+        known = self._link.heartbeat
+        change = self._link.replace_unresponsive(now)
+        if change is not _endpoint.IncarnationChange.NONE:
+            self._apply_change(now, change)
+            self._log_heartbeat(known)
+        if not self._link.all_leases_expired(now):
             return
         self._link.synced = self._link.synced or not len(self._runs)
         self._lose_all(now)
@@ -179,11 +188,11 @@
         crashed_jobs = self._crashed_jobs()
         for row in self._runs.clear():
             how = wire.HowEnded.LOST
-            self._reports.tell_end(now, row, how, crashed_jobs)
+            self._reports.report_end(now, row, how, crashed_jobs)
 
     def _crashed_jobs(self) -> int:
         """Return how many jobs have runs; 0 after an announced shutdown."""
-        if self._announced:
+        if self._shutdown_announced:
             return 0
         return len({row.key.job for row in self._runs})
 
@@ -212,7 +221,7 @@
             case _:
                 if event.result is _agent_events.StartResult.FENCED:
                     self._link.raise_token(event.clock_ms, now)
-                row.release_reason = _RELEASES[event.result]
+                row.release_reason = _RELEASE_REASONS[event.result]
                 if row.release_reason is wire.NotStarted.UNHEALTHY:
                     self._note_end(now, row, False)
                 self._end(now, row, wire.HowEnded.STOPPED)
@@ -222,16 +231,16 @@
     ) -> None:
         if event.incarnation != self._link.incarnation:
             return
-        known = self._link.seen
-        self._follow(now, self._link.answered(event.born_ms, now))
-        self._note_endpoint(known)
+        known = self._link.heartbeat
+        self._apply_change(now, self._link.note_start_time(event.born_ms, now))
+        self._log_heartbeat(known)
         had_token = bool(self._link.token)
         self._link.note_clock(event.clock_ms, now)
         if not had_token:
             return
         self._link.renewed(event.sent_at, now)
-        self._note_back(now)
-        self._keep_endpoint()
+        self._note_recovery(now)
+        self._save_heartbeat()
         self._notes.renewed()
         for end in event.ended:
             self._on_listed_end(now, end)
@@ -253,7 +262,7 @@
             self._listed_clock_ms = event.clock_ms
             for key in listed:
                 self._adopt(now, key)
-        self.speed.update(now, self._paces())
+        self.speed.update(now, self._run_progress())
         self._link.synced = True
 
     def _on_not_renewed(
@@ -263,18 +272,18 @@
         if event.incarnation != self._link.incarnation:
             return
         self._link.failed(event.fault)
-        if self._link.is_down and not self._announced:
+        if self._link.is_down and not self._shutdown_announced:
             self.outages.note_down(now)
         match event.fault:
             case _agent_events.CallFault.FENCED:
                 self._link.raise_token(event.clock_ms, now)
             case _agent_events.CallFault.REPLACED:
-                self._follow(now, self._link.refute(now))
-                self._note_endpoint(None)
+                self._apply_change(now, self._link.handle_replacement(now))
+                self._log_heartbeat(None)
             case _:
                 pass
 
-    def _paces(self) -> list[_speed.RunProgress]:
+    def _run_progress(self) -> list[_speed.RunProgress]:
         return [
             row.progress
             for row in self._runs
@@ -288,7 +297,7 @@
         row = self._runs.find(end.key)
         if row is not None:
             row.confirmed_at = row.confirmed_at or row.ordered_at
-            if end.how in _SPEAKS:
+            if end.how in _COUNTED_ENDS:
                 self._note_end(now, row, end.how is wire.HowEnded.DONE)
             self._end(now, row, end.how)
 
@@ -297,11 +306,11 @@
         if owner is not None:
             self.failure_rates.note_end(now, owner.zone, row.key.job, ok)
 
-    def _note_back(self, now: float) -> None:
+    def _note_recovery(self, now: float) -> None:
         """Record the end of an outage, if there was one."""
         away_s = self.outages.note_up(now)
         if away_s is not None:
-            self._notes.back(away_s, self.outages.steady(now))
+            self._notes.outage_ended(away_s, self.outages.steady(now))
 
     def _adopt(self, now: float, key: _runs.RunKey) -> None:
         """Add a run that an earlier incarnation of the agent started."""
@@ -314,7 +323,7 @@
             self.unclaimed_since = now
         self._runs.add(row)
         for owner in self._owners.connected:
-            owner.wants_held = True
+            owner.needs_held_report = True
 
     def _end(
         self,
@@ -324,4 +333,4 @@
         crashed_jobs: int = 0,
     ) -> None:
         self._runs.remove(row.key)
-        self._reports.tell_end(now, row, how, crashed_jobs)
+        self._reports.report_end(now, row, how, crashed_jobs)
--- a/src/ferryledge/leases/_grant_requests.py
+++ b/src/ferryledge/leases/_grant_requests.py
@@ -10,7 +10,7 @@
 Act = abc.Callable[[_agent_events.AgentAction], None]
 
 
-class Asking:
+class GrantRequests:
     """Sends each entry a request for a grant when one is due.
 
     :param owners: the entries and their grants
@@ -36,12 +36,12 @@
         if now >= self._owners.ask_due_at:
             for owner in self._owners.connected:
                 if now >= owner.next_ask_at:
-                    self._ask_or_leave(now, owner)
+                    self._ask_or_close(now, owner)
             self._owners.plan_asks()
         for owner in self._watch.reopen_silent(now):
             self._ask(now, owner, at_once=True)
 
-    def _ask_or_leave(self, now: float, owner: _owners.Owner) -> None:
+    def _ask_or_close(self, now: float, owner: _owners.Owner) -> None:
         if self._owners.is_silent(owner, now):
             self._owners.leave(owner.name, owner.incarnation)
             self._act(_agent_events.CloseStream(owner.name))
--- a/src/ferryledge/leases/_incarnations.py
+++ b/src/ferryledge/leases/_incarnations.py
@@ -4,7 +4,7 @@
 id and the time of its start.
 """
 
-_MARK = "@"
+_SEPARATOR = "@"
 
 
 def incarnation_of(endpoint_id: str, born_ms: int) -> str:
@@ -13,10 +13,10 @@
     :param endpoint_id: the id by which the endpoint is called
     :param born_ms: Unix time of its start in ms; 0 if it isn't reported
     """
-    return f"{endpoint_id}{_MARK}{born_ms}" if born_ms else endpoint_id
+    return f"{endpoint_id}{_SEPARATOR}{born_ms}" if born_ms else endpoint_id
 
 
 def endpoint_id_of(incarnation: str) -> str:
     """Return the id by which an incarnation is called."""
-    endpoint_id, mark, _ = incarnation.rpartition(_MARK)
+    endpoint_id, mark, _ = incarnation.rpartition(_SEPARATOR)
     return endpoint_id if mark else incarnation
--- a/src/ferryledge/leases/_owners.py
+++ b/src/ferryledge/leases/_owners.py
@@ -31,7 +31,7 @@
 _CONFIRM_EVERY_S = 0.05
 _CRC_RANGE = 2.0**32
 #: Least time until the next regular ask, as a share of the interval.
-_SOONEST_BEAT = 0.3
+_MIN_INTERVAL_SHARE = 0.3
 
 
 class Owner(msgspec.Struct):
@@ -52,21 +52,21 @@
     #: Whether it is one of the few entries that get prompt state reports.
     is_primary: bool = True
     #: The endpoint's state in the last report to the entry.
-    told: wire.EndpointState | None = None
+    last_report: wire.EndpointState | None = None
     #: The part of that state that all entries share.
-    told_of: wire.EndpointState | None = None
+    last_shared_state: wire.EndpointState | None = None
     #: Free capacity as the entry calculates it, from the last report and its
     #: own orders since; none if that isn't known.
-    expects: wire.Resources | None = None
-    #: When the last report was sent or an order changed ``expects``.
-    told_at: float = float("-inf")
+    expected_free: wire.Resources | None = None
+    #: When the last report was sent or an order changed ``expected_free``.
+    reported_at: float = float("-inf")
     #: Latest acceptable start of the entry's most urgent waiting job.
-    wanted_by: float = float("inf")
+    latest_start: float = float("inf")
     #: Whether the runs that are here are to be reported on a new stream.
-    wants_held: bool = True
+    needs_held_report: bool = True
     #: Number of the last ask and when it was sent.
-    asked: int = 0
-    asked_at: float = float("-inf")
+    last_ask: int = 0
+    last_asked_at: float = float("-inf")
     #: When each ask was sent that must be answered, by its number.
     unanswered_asks: dict[int, float] = msgspec.field(default_factory=dict)
     #: How long the entry's answers take.
@@ -114,10 +114,10 @@
         self._connected: tuple[Owner, ...] = ()
         self._disconnected: tuple[Owner, ...] = ()
         #: Entries with an ask that must be answered, by incarnation.
-        self._owing: dict[str, Owner] = {}
+        self._awaiting_answer: dict[str, Owner] = {}
         #: Lower bound of the time at which the next ask is due.
         self.ask_due_at = float("inf")
-        self._asked = 0
+        self._last_ask = 0
         #: Counts changes after which state reports may be due.
         self.changes = 0
 
@@ -145,9 +145,9 @@
     @property
     def awaiting_answer(self) -> abc.Collection[Owner]:
         """The entries with an ask that must be answered."""
-        return self._owing.values()
+        return self._awaiting_answer.values()
 
-    def _sort(self) -> None:
+    def _split_by_connection(self) -> None:
         """Split the entries by whether they have a stream."""
         owners = self._owners.values()
         self._connected = tuple(owner for owner in owners if owner.connected)
@@ -167,10 +167,10 @@
             default=float("inf"),
         )
 
-    def _owe_nothing(self, owner: Owner) -> None:
+    def _clear_unanswered(self, owner: Owner) -> None:
         owner.unanswered_asks.clear()
         owner.reopening = False
-        self._owing.pop(owner.incarnation, None)
+        self._awaiting_answer.pop(owner.incarnation, None)
 
     def note_answer(self, now: float, owner: Owner, number: int) -> bool:
         """Record that an entry has answered an ask, and all before it.
@@ -188,7 +188,7 @@
         for asked in answered:
             del owner.unanswered_asks[asked]
         if not owner.unanswered_asks:
-            del self._owing[owner.incarnation]
+            del self._awaiting_answer[owner.incarnation]
         return True
 
     def join(
@@ -202,14 +202,14 @@
             owner = self._owners[incarnation] = Owner(name, incarnation, zone)
         owner.connected = True
         owner.heard_at = now
-        owner.wants_held = True
-        owner.wanted_by = float("inf")
-        owner.told = None
-        owner.expects = None
+        owner.needs_held_report = True
+        owner.latest_start = float("inf")
+        owner.last_report = None
+        owner.expected_free = None
         owner.next_ask_at = 0.0
         owner.false_alarms = 0
-        self._owe_nothing(owner)
-        self._sort()
+        self._clear_unanswered(owner)
+        self._split_by_connection()
         self.plan_asks()
         return owner
 
@@ -219,8 +219,8 @@
         if owner is not None and owner.name == name:
             owner.connected = False
             owner.asks.clear()
-            self._owe_nothing(owner)
-            self._sort()
+            self._clear_unanswered(owner)
+            self._split_by_connection()
             self.plan_asks()
             self.changes += 1
 
@@ -228,32 +228,36 @@
         """Record an order's number and the grant that it carries."""
         owner.orders_seen = max(owner.orders_seen, order.number)
         self.changes += 1
-        self.granted(owner, order.ask_seen, order.shorten_by_ms)
+        self.note_grant(owner, order.ask_seen, order.shorten_by_ms)
         due = owner.granted_at + self._timing.idle_ask_every_s
         self._bring_forward(owner, due)
 
-    def note_taken(
-        self, now: float, owner: Owner, order: wire.OrderRuns, whole: bool
+    def note_started(
+        self,
+        now: float,
+        owner: Owner,
+        order: wire.OrderRuns,
+        all_started: bool,
     ) -> None:
         """Update the free capacity as an entry calculates it after an order.
 
         :param now: monotonic seconds
         :param owner: the entry
         :param order: the entry's order
-        :param whole: whether all runs of the order were started
+        :param all_started: whether all runs of the order were started
         """
-        if whole and owner.expects is not None:
+        if all_started and owner.expected_free is not None:
             count = len(order.runs)
-            owner.expects = owner.expects.minus(order.need, count)
+            owner.expected_free = owner.expected_free.minus(order.need, count)
             # The entry's view is as current as after a report.
-            owner.told_at = now
+            owner.reported_at = now
         else:
-            owner.expects = None
+            owner.expected_free = None
 
     def forget(self, incarnation: str) -> None:
         """Remove an incarnation that is not connected and has no runs."""
         owner = self._owners.pop(incarnation, None)
-        self._sort()
+        self._split_by_connection()
         if owner and self._current.get(owner.name) == incarnation:
             del self._current[owner.name]
 
@@ -281,35 +285,39 @@
         :param busy: whether the entry has runs here
         :param at_once: whether the entry must answer in any case
         """
-        self._asked += 1
+        self._last_ask += 1
         oldest = now - self._timing.grant_s
         owner.asks = {n: at for n, at in owner.asks.items() if at > oldest}
-        owner.asks[self._asked] = now
-        owner.asked = self._asked
-        owner.asked_at = now
-        quiet = now - owner.heard_at >= self._timing.idle_answer_every_s
-        if at_once or busy or quiet or owner.unconfirmed:
-            owner.unanswered_asks[self._asked] = now
-            self._owing[owner.incarnation] = owner
-        every = self._timing.ask_every_s
+        owner.asks[self._last_ask] = now
+        owner.last_ask = self._last_ask
+        owner.last_asked_at = now
+        is_quiet = now - owner.heard_at >= self._timing.idle_answer_every_s
+        if at_once or busy or is_quiet or owner.unconfirmed:
+            owner.unanswered_asks[self._last_ask] = now
+            self._awaiting_answer[owner.incarnation] = owner
+        interval_s = self._timing.ask_every_s
         if not busy:
-            every = self._timing.idle_ask_every_s
+            interval_s = self._timing.idle_ask_every_s
             if not owner.is_primary:
-                every = self._timing.far_ask_every_s
-        owner.next_ask_at = self._next_beat(now, every)
-        return wire.AskLease(self._asked, self._asked in owner.unanswered_asks)
+                interval_s = self._timing.far_ask_every_s
+        owner.next_ask_at = self._next_ask_at(now, interval_s)
+        return wire.AskLease(
+            self._last_ask, self._last_ask in owner.unanswered_asks
+        )
 
-    def _next_beat(self, now: float, every: float) -> float:
+    def _next_ask_at(self, now: float, interval_s: float) -> float:
         """Return when the next ask is due, the same time for all entries.
 
         Asks that are sent together cost one wake-up of the process. The
         phase differs between agents, to spread their asks to an entry.
         """
-        soonest = now + _SOONEST_BEAT * every
-        beats = math.floor((soonest - self._phase * every) / every)
-        return (beats + 1 + self._phase) * every
+        soonest = now + _MIN_INTERVAL_SHARE * interval_s
+        intervals = math.floor(
+            (soonest - self._phase * interval_s) / interval_s
+        )
+        return (intervals + 1 + self._phase) * interval_s
 
-    def granted(
+    def note_grant(
         self, owner: Owner, number: int, shorten_by_ms: int = 0
     ) -> None:
         """Record a grant; an unknown or older one is ignored.
@@ -334,30 +342,30 @@
         for older in [asked for asked in owner.asks if asked < number]:
             del owner.asks[older]
 
-    def keep(self, owner: Owner, message: wire.RunsEnded) -> None:
+    def keep_unconfirmed(self, owner: Owner, message: wire.RunsEnded) -> None:
         """Keep an end until the entry confirms it.
 
         The entry does by answering an ask that is sent with it or later.
         """
         if len(owner.unconfirmed) < _MAX_UNCONFIRMED:
-            owner.unconfirmed.append((owner.asked, message))
+            owner.unconfirmed.append((owner.last_ask, message))
 
-    def ask_with(
+    def attach_ask(
         self, owner: Owner, now: float, message: wire.RunsEnded
     ) -> wire.RunsEnded:
         """Return an end, with an ask if none was sent recently.
 
         Otherwise an ask is sent soon that confirms this end and others.
         """
-        due = owner.asked_at + _CONFIRM_EVERY_S
+        due = owner.last_asked_at + _CONFIRM_EVERY_S
         if now < due:
             self._bring_forward(owner, due)
             return message
         ask = self.ask(owner, now, busy=True)
         return wire.RunsEnded(message.job, message.ends, ask.number)
 
-    def take_unconfirmed(self, owner: Owner) -> list[wire.RunsEnded]:
+    def ends_to_resend(self, owner: Owner) -> list[wire.RunsEnded]:
         """Return the unconfirmed ends, to be sent again on a new stream."""
         messages = [message for _, message in owner.unconfirmed]
-        owner.unconfirmed = [(owner.asked, end) for end in messages]
+        owner.unconfirmed = [(owner.last_ask, end) for end in messages]
         return messages
--- a/src/ferryledge/leases/_quarantine.py
+++ b/src/ferryledge/leases/_quarantine.py
@@ -16,12 +16,12 @@
 
 #: Largest share of the pool's cores that is left unused. Beyond it the rest
 #: would be overloaded, and the failures likely have a common cause.
-_MOST_OUT = health.HealthOptions().max_ejected
+_MAX_UNUSED_SHARE = health.HealthOptions().max_ejected
 #: Fewest suspect endpoints that make their zone suspect.
-_FEWEST_OF_ZONE = 2
+_MIN_SUSPECT_OF_ZONE = 2
 
 
-class Room(msgspec.Struct, frozen=True):
+class UsableRoom(msgspec.Struct, frozen=True):
     """The part of an endpoint's free capacity that is to be used."""
 
     free: wire.Resources
@@ -37,22 +37,22 @@
     :param rows: all agents of the pool
     :return: shares by the agents' names; the others are used in full
     """
-    there = [row for row in rows if row.connected and row.state.accepting]
-    shaky = [row for row in there if row.state.steady < 1.0]
-    if not shaky:
+    available = [row for row in rows if row.connected and row.state.accepting]
+    unstable = [row for row in available if row.state.steady < 1.0]
+    if not unstable:
         return {}
-    left = _MOST_OUT * sum(_cores(row) for row in there)
-    left -= sum(_cores(row) for row in there if not row.healthy)
+    remaining = _MAX_UNUSED_SHARE * sum(_cores(row) for row in available)
+    remaining -= sum(_cores(row) for row in available if not row.healthy)
     shares = {}
-    for row in sorted(shaky, key=_steadiness):
-        left -= (1.0 - row.state.steady) * _cores(row)
-        if left < 0.0:
+    for row in sorted(unstable, key=_steadiness):
+        remaining -= (1.0 - row.state.steady) * _cores(row)
+        if remaining < 0.0:
             break
         shares[row.name] = row.state.steady
     return shares
 
 
-def usable_room(row: _pool.AgentRow, share: float, tasks: int) -> Room:
+def usable_room(row: _pool.AgentRow, share: float, tasks: int) -> UsableRoom:
     """Return the part of an endpoint's free capacity that is to be used.
 
     An idle endpoint gets at least one task, since only a task can show
@@ -65,25 +65,25 @@
     free = row.free
     is_idle = free == row.state.capacity
     if row.awaits_probe or (is_idle and not share):
-        return Room(free, min(1, tasks))
+        return UsableRoom(free, min(1, tasks))
     if share >= 1.0:
-        return Room(free, tasks)
+        return UsableRoom(free, tasks)
     unused = int((1.0 - share) * row.state.capacity.cpu_millis)
     cpu_millis = free.cpu_millis - unused
     free = msgspec.structs.replace(free, cpu_millis=cpu_millis)
-    return Room(free, tasks)
+    return UsableRoom(free, tasks)
 
 
 def suspect_zones(rows: abc.Iterable[_pool.AgentRow]) -> set[str]:
     """Return the zones in which half of the endpoints or more are suspect."""
     by_zone: dict[str, list[bool]] = {}
     for row in rows:
-        is_in_doubt = row.is_suspect or not row.healthy
-        by_zone.setdefault(row.zone, []).append(is_in_doubt)
+        is_suspect = row.is_suspect or not row.healthy
+        by_zone.setdefault(row.zone, []).append(is_suspect)
     return {
         zone
-        for zone, doubts in by_zone.items()
-        if sum(doubts) >= max(_FEWEST_OF_ZONE, len(doubts) / 2)
+        for zone, suspects in by_zone.items()
+        if sum(suspects) >= max(_MIN_SUSPECT_OF_ZONE, len(suspects) / 2)
     }
 
 
--- a/src/ferryledge/leases/_reports.py
+++ b/src/ferryledge/leases/_reports.py
@@ -46,17 +46,17 @@
         self._state = wire.EndpointState(is_primary=False)
         #: The owners' count of changes at the last report.
         self._changes = -1
-        self._late_told_at = float("-inf")
+        self._late_reported_at = float("-inf")
         #: When the next report of the endpoint's state is due.
         self.due_at = float("inf")
 
-    def tell_held(self) -> None:
+    def report_held(self) -> None:
         """Report the present runs and unconfirmed ends on new streams."""
         for owner in self._owners.connected:
-            if not owner.wants_held:
+            if not owner.needs_held_report:
                 continue
-            owner.wants_held = False
-            for message in self._owners.take_unconfirmed(owner):
+            owner.needs_held_report = False
+            for message in self._owners.ends_to_resend(owner):
                 self._send(owner, message)
             rows = self._runs.of_owner(owner.incarnation)
             rows += self._runs.of_owner("")
@@ -66,7 +66,7 @@
             )
             self._send(owner, wire.RunsHeld(held))
 
-    def tell_end(
+    def report_end(
         self,
         now: float,
         row: _runs.RunRow,
@@ -83,24 +83,26 @@
         :param crashed_jobs: how many jobs lost runs in a crash of the
             endpoint; 0 if it didn't crash
         """
-        self._notes.over(now, row, how)
+        self._notes.run_ended(now, row, how)
         owner = self._owners.find(row.owner)
         if owner is None:
             return
         run = row.key.task_run
         if not row.is_confirmed and row.release_reason is not None:
-            self.tell_released(owner, row.key.job, (run,), row.release_reason)
+            self.report_released(
+                owner, row.key.job, (run,), row.release_reason
+            )
             return
         run_s = 0.0
         if row.confirmed_at is not None:
             run_s = max(0.0, now - row.confirmed_at)
         ends = (wire.RunEnd(run, how, run_s, crashed_jobs),)
         end = wire.RunsEnded(row.key.job, ends)
-        self._owners.keep(owner, end)
-        if owner.connected and not owner.wants_held:
-            self._send(owner, self._owners.ask_with(owner, now, end))
+        self._owners.keep_unconfirmed(owner, end)
+        if owner.connected and not owner.needs_held_report:
+            self._send(owner, self._owners.attach_ask(owner, now, end))
 
-    def tell_released(
+    def report_released(
         self,
         owner: _owners.Owner,
         job: str,
@@ -111,15 +113,15 @@
         if owner.connected:
             self._send(owner, wire.RunsReleased(job, tuple(runs), reason))
 
-    def tell_late(self, now: float, speed: _speed.EndpointSpeed) -> None:
+    def report_late(self, now: float, speed: _speed.EndpointSpeed) -> None:
         """Report to entries which of their runs are delayed.
 
         These are all runs of a slow endpoint, and hung runs of any other.
         """
         is_slow = speed.reported_slowness >= _speed.SLOW_THRESHOLD
-        if now - self._late_told_at < _LATE_S:
+        if now - self._late_reported_at < _LATE_S:
             return
-        self._late_told_at = now
+        self._late_reported_at = now
         for owner in self._owners.connected:
             runs = tuple(
                 _late_run(now, row, row.progress, speed)
@@ -131,14 +133,16 @@
             if runs:
                 self._send(owner, wire.LateRuns(runs))
 
-    def tell_state(self, now: float, state: wire.EndpointState) -> None:
+    def report_state(self, now: float, state: wire.EndpointState) -> None:
         """Report the endpoint's state to the entries for which that is due.
 
         :param now: monotonic seconds
         :param state: the part of the state that all entries share
         """
-        same = state == self._state and self._owners.changes == self._changes
-        if same and now < self.due_at:
+        unchanged = (
+            state == self._state and self._owners.changes == self._changes
+        )
+        if unchanged and now < self.due_at:
             return
         if state != self._state:
             self._state = state
@@ -146,76 +150,84 @@
         self._turns.note_free(now, state.free)
         self.due_at = float("inf")
         owners = self._owners.connected
-        self._choose_homes(owners)
-        wanted_by = {
-            owner.name: owner.wanted_by for owner in owners if owner.is_primary
+        self._choose_primary_entries(owners)
+        latest_start = {
+            owner.name: owner.latest_start
+            for owner in owners
+            if owner.is_primary
         }
-        report_order = self._turns.report_order(wanted_by)
+        report_order = self._turns.report_order(latest_start)
         for owner in owners:
             announce_at = None
             if owner.is_primary:
                 announce_at = self._turns.announce_at(
                     report_order.index(owner.name)
                 )
-            self._tell_owner(now, owner, announce_at)
+            self._report_to(now, owner, announce_at)
 
-    def _choose_homes(self, owners: abc.Iterable[_owners.Owner]) -> None:
+    def _choose_primary_entries(
+        self, owners: abc.Iterable[_owners.Owner]
+    ) -> None:
         names = tuple(sorted(owner.name for owner in owners))
         primary_entries = _state_reports.primary_entries_of(self._name, names)
         for owner in owners:
             owner.is_primary = owner.name in primary_entries
 
-    def _tell_owner(
+    def _report_to(
         self, now: float, owner: _owners.Owner, announce_at: float | None
     ) -> None:
-        if _knows(owner, self._state, owner.is_primary):
+        if _is_current(owner, self._state, owner.is_primary):
             return
-        if _can_tell(owner, self._state):
+        if _can_calculate(owner, self._state):
             return
         state = msgspec.structs.replace(
             self._state,
             orders_seen=owner.orders_seen,
             is_primary=owner.is_primary,
         )
-        told = owner.told
-        if told is not None and owner.expects is not None:
-            told = msgspec.structs.replace(told, free=owner.expects)
-        due = _state_reports.due_at(told, owner.told_at, state, announce_at)
+        last_report = owner.last_report
+        if last_report is not None and owner.expected_free is not None:
+            last_report = msgspec.structs.replace(
+                last_report, free=owner.expected_free
+            )
+        due = _state_reports.due_at(
+            last_report, owner.reported_at, state, announce_at
+        )
         if due > now:
             self.due_at = min(self.due_at, due)
             return
-        owner.told = state
-        owner.told_of = self._state
-        owner.expects = self._state.free
-        owner.told_at = now
+        owner.last_report = state
+        owner.last_shared_state = self._state
+        owner.expected_free = self._state.free
+        owner.reported_at = now
         self._send(owner, state)
 
 
-def _knows(
+def _is_current(
     owner: _owners.Owner, state: wire.EndpointState, is_primary: bool
 ) -> bool:
     """Return whether the last report to an entry is still current."""
-    told = owner.told
+    last_report = owner.last_report
     return (
-        told is not None
-        and owner.told_of is state
-        and told.orders_seen == owner.orders_seen
-        and told.is_primary is is_primary
+        last_report is not None
+        and owner.last_shared_state is state
+        and last_report.orders_seen == owner.orders_seen
+        and last_report.is_primary is is_primary
     )
 
 
-def _can_tell(owner: _owners.Owner, state: wire.EndpointState) -> bool:
+def _can_calculate(owner: _owners.Owner, state: wire.EndpointState) -> bool:
     """Return whether an entry can calculate the state itself.
 
     It can if only its own orders have changed the state since the last
     report.
     """
     return (
-        owner.told is not None
-        and owner.told_of is not None
-        and owner.told.is_primary is owner.is_primary
-        and owner.expects == state.free
-        and _state_reports.state_without_free(owner.told_of)
+        owner.last_report is not None
+        and owner.last_shared_state is not None
+        and owner.last_report.is_primary is owner.is_primary
+        and owner.expected_free == state.free
+        and _state_reports.state_without_free(owner.last_shared_state)
         == _state_reports.state_without_free(state)
     )
 
--- a/src/ferryledge/leases/tests/test_endpoint_lives.py
+++ b/src/ferryledge/leases/tests/test_endpoint_lives.py
@@ -29,8 +29,8 @@
     world: worlds.World, number: int
 ) -> leases.EndpointHeartbeat:
     """Return a heartbeat of the endpoint's first incarnation."""
-    seen = world.report_of(_AGENT, number)
-    return msgspec.structs.replace(seen, endpoint_id=_OLD, born_ms=1)
+    heartbeat = world.report_of(_AGENT, number)
+    return msgspec.structs.replace(heartbeat, endpoint_id=_OLD, born_ms=1)
 
 
 @pytest.fixture
@@ -86,9 +86,9 @@
 def test_successor_replaces_an_unresponsive_endpoint() -> None:
     world = worlds.World(seed=3, agents=1)
     world.run(2.0)
-    seen = world.report_of(_AGENT, 1)
+    heartbeat = world.report_of(_AGENT, 1)
     world.endpoints[_AGENT].crash()
     world.run(0.1)
-    world.post(_AGENT, msgspec.structs.replace(seen, endpoint_id="next"))
+    world.post(_AGENT, msgspec.structs.replace(heartbeat, endpoint_id="next"))
     world.run(1.0)
     assert _endpoint_id(world) == "next"
--- a/src/ferryledge/leases/tests/test_entry_selection.py
+++ b/src/ferryledge/leases/tests/test_entry_selection.py
@@ -18,7 +18,7 @@
     """An agent whose streams to reachable entries open at once."""
 
     def __init__(self, name: str = "agent-0") -> None:
-        self.dealing = _entry_selection.Dealing(name)
+        self.selection = _entry_selection.EntrySelection(name)
         self.now = 0.0
         self.streams: set[str] = set()
         self.dialled: set[str] = set()
@@ -34,7 +34,7 @@
             self.now = round(self.now + 0.1, 3)
 
     def act(self) -> None:
-        for action in self.dealing.plan(self.now, self.busy.__contains__):
+        for action in self.selection.plan(self.now, self.busy.__contains__):
             match action:
                 case _agent_events.DialEntries(entries):
                     self.dialled |= {entry.name for entry in entries}
@@ -47,44 +47,44 @@
     def _open(self) -> None:
         for name in sorted(self.dialled - self.streams - self.down):
             self.streams.add(name)
-            self.dealing.join(self.now, name)
+            self.selection.join(self.now, name)
 
     def close(self, name: str) -> None:
         self.streams.discard(name)
-        self.dealing.leave(self.now, name)
+        self.selection.leave(self.now, name)
 
 
 @pytest.fixture
 def agent() -> _Agent:
     agent = _Agent()
-    agent.dealing.learn(0.0, _ENTRIES)
+    agent.selection.add_addresses(0.0, _ENTRIES)
     agent.run(5.0)
     return agent
 
 
 def test_agent_connects_to_few_entries(agent: _Agent) -> None:
-    assert len(agent.streams) == _entry_selection.STREAMS
+    assert len(agent.streams) == _entry_selection.ENTRIES_PER_AGENT
 
 
 def test_agent_connects_to_all_of_few_entries() -> None:
     agent = _Agent()
-    agent.dealing.learn(0.0, _ENTRIES[:3])
+    agent.selection.add_addresses(0.0, _ENTRIES[:3])
     agent.run(5.0)
     assert len(agent.streams) == 3
 
 
 def test_settled_agent_needs_no_more_checks(agent: _Agent) -> None:
-    assert agent.dealing.due_at == float("inf")
+    assert agent.selection.due_at == float("inf")
 
 
 def test_entries_get_nearly_equal_numbers_of_agents() -> None:
     counts: dict[str, int] = collections.Counter()
     for number in range(240):
         agent = _Agent(f"side-{number}")
-        agent.dealing.learn(0.0, _ENTRIES)
+        agent.selection.add_addresses(0.0, _ENTRIES)
         agent.run(0.3)
         counts.update(agent.streams)
-    mean = 240 * _entry_selection.STREAMS / len(_ENTRIES)
+    mean = 240 * _entry_selection.ENTRIES_PER_AGENT / len(_ENTRIES)
     assert all(0.7 * mean < count < 1.3 * mean for count in counts.values())
 
 
@@ -98,7 +98,7 @@
     agent.run(1.0)
     assert agent.streams == before - {lost}
     agent.run(2.0)
-    assert len(agent.streams) == _entry_selection.STREAMS
+    assert len(agent.streams) == _entry_selection.ENTRIES_PER_AGENT
     agent.down.clear()
     agent.run(_LONG_S)
     assert agent.streams == before
@@ -108,69 +108,69 @@
     better = wire.EntryAddress("entry-new", "10.0.1.0", 7000)
     while agent.streams == {entry.name for entry in _ENTRIES} & agent.streams:
         better = wire.EntryAddress(f"{better.name}x", "10.0.1.0", 7000)
-        agent.dealing.learn(agent.now, (better,))
+        agent.selection.add_addresses(agent.now, (better,))
         agent.run(0.5)
-    assert len(agent.streams) == _entry_selection.STREAMS + 1
+    assert len(agent.streams) == _entry_selection.ENTRIES_PER_AGENT + 1
     while not agent.announced:
         agent.run(0.1)
-    assert len(agent.streams) == _entry_selection.STREAMS + 1
+    assert len(agent.streams) == _entry_selection.ENTRIES_PER_AGENT + 1
     agent.run(1.0)
-    assert len(agent.streams) == _entry_selection.STREAMS
+    assert len(agent.streams) == _entry_selection.ENTRIES_PER_AGENT
 
 
 def test_entry_invited_again_after_the_announcement_gets_a_new_stream(
     agent: _Agent,
 ) -> None:
     """The entry sends no orders on a stream whose closing was announced."""
-    guest = _unserved(agent)
-    agent.dealing.hear(agent.now, wire.Invite(guest))
-    while guest.name not in agent.announced:
+    inviter = _unserved(agent)
+    agent.selection.handle_message(agent.now, wire.Invite(inviter))
+    while inviter.name not in agent.announced:
         agent.run(0.1)
-    agent.dealing.hear(agent.now, wire.Invite(guest))
+    agent.selection.handle_message(agent.now, wire.Invite(inviter))
     dropped = False
     for _ in range(20):
         agent.run(0.1)
-        dropped = dropped or guest.name not in agent.streams
+        dropped = dropped or inviter.name not in agent.streams
     assert dropped
-    assert guest.name in agent.streams
+    assert inviter.name in agent.streams
 
 
 def test_announced_stream_is_closed_while_another_entry_is_down(
     agent: _Agent,
 ) -> None:
-    guest = _unserved(agent)
+    inviter = _unserved(agent)
     chosen = set(agent.streams)
-    agent.dealing.hear(agent.now, wire.Invite(guest))
-    while guest.name not in agent.announced:
+    agent.selection.handle_message(agent.now, wire.Invite(inviter))
+    while inviter.name not in agent.announced:
         agent.run(0.1)
     lost = min(chosen)
     agent.down.add(lost)
     agent.close(lost)
     agent.run(1.0)
-    assert guest.name not in agent.streams
+    assert inviter.name not in agent.streams
 
 
 def test_stream_is_kept_while_its_entry_has_runs_here(agent: _Agent) -> None:
-    agent.dealing.hear(agent.now, wire.Invite(_unserved(agent)))
+    agent.selection.handle_message(agent.now, wire.Invite(_unserved(agent)))
     agent.run(1.0)
-    (guest,) = agent.streams - set(_chosen_without_invitation(agent))
-    agent.busy.add(guest)
+    (inviter,) = agent.streams - set(_chosen_without_invitation(agent))
+    agent.busy.add(inviter)
     agent.run(_LONG_S)
-    assert guest in agent.streams
+    assert inviter in agent.streams
     agent.busy.clear()
     agent.run(_LONG_S)
-    assert guest not in agent.streams
+    assert inviter not in agent.streams
 
 
 def test_invited_agent_stays_while_it_gets_orders(agent: _Agent) -> None:
-    guest = _unserved(agent)
-    agent.dealing.hear(agent.now, wire.Invite(guest))
+    inviter = _unserved(agent)
+    agent.selection.handle_message(agent.now, wire.Invite(inviter))
     for _ in range(6):
         agent.run(5.0)
-        agent.dealing.note_order(agent.now, guest.name)
-    assert guest.name in agent.streams
+        agent.selection.note_order(agent.now, inviter.name)
+    assert inviter.name in agent.streams
     agent.run(_LONG_S)
-    assert len(agent.streams) == _entry_selection.STREAMS
+    assert len(agent.streams) == _entry_selection.ENTRIES_PER_AGENT
 
 
 def test_agent_without_streams_dials_a_few_others_at_once_and_later_all(
@@ -180,7 +180,7 @@
     for name in list(agent.streams):
         agent.close(name)
     agent.run(1.0)
-    assert len(agent.dialled) == 2 * _entry_selection.STREAMS
+    assert len(agent.dialled) == 2 * _entry_selection.ENTRIES_PER_AGENT
     agent.run(4.0)
     assert len(agent.dialled) == len(_ENTRIES)
 
@@ -215,8 +215,8 @@
 def test_changed_address_is_dialled(agent: _Agent) -> None:
     name = min(agent.streams)
     moved = wire.EntryAddress(name, "10.0.9.9", 7000)
-    agent.dealing.learn(agent.now, (moved,))
-    actions = agent.dealing.plan(agent.now, agent.busy.__contains__)
+    agent.selection.add_addresses(agent.now, (moved,))
+    actions = agent.selection.plan(agent.now, agent.busy.__contains__)
     assert [type(action) for action in actions] == [_agent_events.DialEntries]
     assert actions[0].entries == (moved,)
 
@@ -224,7 +224,7 @@
 def _chosen_without_invitation(agent: _Agent) -> list[str]:
     """Return the entries that the agent would choose without invitations."""
     other = _Agent()
-    other.dealing.learn(0.0, _ENTRIES)
+    other.selection.add_addresses(0.0, _ENTRIES)
     other.run(0.3)
     return sorted(other.streams)
 
--- a/src/ferryledge/leases/tests/test_mutations.py
+++ b/src/ferryledge/leases/tests/test_mutations.py
@@ -216,12 +216,14 @@
 
 
 def _accept_any_heartbeat(
-    link: _endpoint.EndpointLink, seen: leases.EndpointHeartbeat, now: float
-) -> _endpoint.Change:
+    link: _endpoint.EndpointLink,
+    heartbeat: leases.EndpointHeartbeat,
+    now: float,
+) -> _endpoint.IncarnationChange:
     """Treat any other incarnation as the successor."""
-    if link.incarnation == seen.incarnation:
-        return _endpoint.Change.NONE
-    return link._take(seen, now)
+    if link.incarnation == heartbeat.incarnation:
+        return _endpoint.IncarnationChange.NONE
+    return link._accept(heartbeat, now)
 
 
 def _do_nothing(*_: typing.Any) -> None:
@@ -319,7 +321,7 @@
     ),
     "any heartbeat is accepted": Mutation(
         _endpoint.EndpointLink,
-        "see",
+        "receive_heartbeat",
         _accept_any_heartbeat,
         _late_heartbeat_during_a_run,
     ),
@@ -355,7 +357,7 @@
     ),
     "ends are reported once": Mutation(
         _owners.OwnerTable,
-        "take_unconfirmed",
+        "ends_to_resend",
         lambda *_: [],
         _silent_streams_at_an_end,
     ),
--- a/src/ferryledge/leases/tests/test_restarts.py
+++ b/src/ferryledge/leases/tests/test_restarts.py
@@ -82,8 +82,8 @@
 def test_endpoint_serves_again_after_an_announced_shutdown(
     world: worlds.World,
 ) -> None:
-    seen = world.report_of(_AGENT, 1)
-    left = leases.EndpointLeft(seen.endpoint_id, seen.born_ms)
+    heartbeat = world.report_of(_AGENT, 1)
+    left = leases.EndpointLeft(heartbeat.endpoint_id, heartbeat.born_ms)
     world.post(_AGENT, left)
     _start_again(world)
     token = world.submit("entry-0", "a" * 16)
@@ -94,9 +94,11 @@
 def test_late_announcement_of_the_previous_incarnation_is_ignored(
     world: worlds.World,
 ) -> None:
-    seen = world.report_of(_AGENT, 1)
+    heartbeat = world.report_of(_AGENT, 1)
     _start_again(world)
-    world.post(_AGENT, leases.EndpointLeft(seen.endpoint_id, seen.born_ms))
+    world.post(
+        _AGENT, leases.EndpointLeft(heartbeat.endpoint_id, heartbeat.born_ms)
+    )
     token = world.submit("entry-0", "a" * 16)
     world.run(1.0)
     assert _is_complete(world, token)
