--- a/src/ferryledge/leases/_agent.py
+++ b/src/ferryledge/leases/_agent.py
@@ -153,7 +153,7 @@
     def _needs_no_tick(self, event: _agent_events.AgentEvent) -> bool:
         """Return whether an event needs no tick unless it changed something.
 
-        These events are frequent, and ticks dominate the agent's CPU time.
+        Frequent events are exempted, which saves most of the ticks.
         """
         match event:
             case wire.Received(_, wire.GrantLease()):
--- a/src/ferryledge/leases/_crashes.py
+++ b/src/ferryledge/leases/_crashes.py
@@ -19,7 +19,7 @@
 #: Crashes after which a task fails whatever their cause, also if they are
 #: all of one endpoint.
 _MAX_CRASHES = 5
-#: Seconds for which crashes are kept; most jobs take less.
+#: Seconds for which crashes are kept; jobs take less.
 _KEEP_S = 60.0
 
 
