--- a/src/ferryledge/leases/_agent.py
+++ b/src/ferryledge/leases/_agent.py
@@ -1,8 +1,8 @@
-"""The agent's decisions on leased tasks.
+"""The agent's core: which runs it starts, renews and stops at its endpoint.
 
-The agent is the only process that orders runs at its endpoint. It keeps the
-endpoint's room, renews the endpoint's lease, and stops the runs of an entry
-whose grant has run out.
+An agent is the only process that starts runs at its endpoint. It accounts
+for the endpoint's capacity, renews the endpoint's lease, and stops the runs
+of an entry whose grant has expired.
 """
 
 from ferryledge.leases import _acceptance
@@ -29,14 +29,15 @@
 
 
 class LeaseAgent:
-    """Owns one endpoint.
+    """Manages the runs of one endpoint for several entries.
 
-    :param name: this process
-    :param incarnation: this start of the process
-    :param zone: its availability zone
+    :param name: name of this process
+    :param incarnation: identifies this start of the process
+    :param zone: availability zone of this process
     :param now: monotonic seconds
-    :param timing: the lease rule
-    :param meter: counts its decisions; none is nowhere
+    :param timing: durations of leases and grants; defaults to the standard
+        ones
+    :param meter: counts the decisions; by default they aren't counted
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         self._runs = _runs.RunTable()
         self._notes = _agent_notes.AgentNotes(meter or _meters.AgentMeter())
         self._owners = _owners.OwnerTable(self._timing, name)
-        self._entry_selection = _entry_selection.Dealing(name)
+        self._entry_selection = _entry_selection.EntrySelection(name)
         self._actions: list[_agent_events.AgentAction] = []
         self._cordons = _cordons.Cordons()
         self._acceptance = _acceptance.Acceptance(
@@ -80,7 +81,7 @@
         self._watch = _stream_watch.StreamWatch(
             self._owners, self._notes, self._act
         )
-        self._grant_requests = _grant_requests.Asking(
+        self._grant_requests = _grant_requests.GrantRequests(
             self._owners, self._runs, self._watch, self._act
         )
         self._endpoint = _endpoint_watch.EndpointWatch(
@@ -95,35 +96,35 @@
             now,
         )
         self._now = now
-        #: When to tick for what came since the last tick.
+        #: When the events since the last tick require the next one.
         self._tick_by = _NEVER
 
     @property
     def link(self) -> _endpoint.EndpointLink:
-        """The link to the endpoint."""
+        """What is known of the endpoint and its lease."""
         return self._link
 
     @property
     def runs(self) -> _runs.RunTable:
-        """The runs that the endpoint holds, or may hold."""
+        """The runs that the endpoint executes or may execute."""
         return self._runs
 
     @property
     def slowness(self) -> float:
-        """How many times as long runs take at the endpoint."""
+        """Factor by which runs take longer here than expected."""
         return self._endpoint.speed.slowness
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs here."""
+        """Whether the agent has no runs."""
         return not len(self._runs)
 
     def pop_notes(self) -> list[_notes.Note]:
-        """Return what was decided since the last call, for the log."""
+        """Return and clear the notes since the last call, for the log."""
         return self._notes.take()
 
     def hello(self) -> wire.Hello:
-        """Return the greeting for a new stream."""
+        """Return the first message of a new stream."""
         return wire.Hello(
             wire.Role.AGENT,
             self._name,
@@ -134,26 +135,25 @@
             cordons=True,
         )
 
-    # Driving.
+    # Events and ticks.
 
     def receive(self, now: float, event: _agent_events.AgentEvent) -> None:
-        """Take in one event."""
+        """Handle one event; the resulting actions come with a tick."""
         self._now = now
         was_open = self._acceptance.is_open(now)
         speed = self._endpoint.speed.reported_slowness
-        self._take_in(now, event)
+        self._handle(now, event)
         changed = (
             was_open != self._acceptance.is_open(now)
             or speed != self._endpoint.speed.reported_slowness
         )
-        if self._actions or changed or not self._is_quiet(event):
+        if self._actions or changed or not self._needs_no_tick(event):
             self._tick_by = now
 
-    def _is_quiet(self, event: _agent_events.AgentEvent) -> bool:
+    def _needs_no_tick(self, event: _agent_events.AgentEvent) -> bool:
         """Return whether an event needs no tick unless it changed something.
 
-        An agent ticked 11.7 times a run, and does 3.7 times (simulation of a
-        pool at 0.9).
+        Frequent events are exempted, which saves most of the ticks.
         """
         match event:
             case wire.Received(_, wire.GrantLease()):
@@ -168,7 +168,7 @@
             case _:
                 return False
 
-    def _take_in(self, now: float, event: _agent_events.AgentEvent) -> None:
+    def _handle(self, now: float, event: _agent_events.AgentEvent) -> None:
         match event:
             case wire.PeerUp(hello):
                 if hello.role is wire.Role.ENTRY:
@@ -180,7 +180,7 @@
                 self._owners.leave(name, incarnation)
                 self._entry_selection.leave(now, name)
             case _agent_events.EntriesFound(entries):
-                self._entry_selection.learn(now, entries)
+                self._entry_selection.add_addresses(now, entries)
             case wire.Received(peer, message):
                 self._on_message(now, peer, message)
             case _agent_events.AgentDrain(until):
@@ -195,13 +195,13 @@
         self._endpoint.check(now)
         self._run_stopper.tick(now, self._endpoint.unclaimed_since)
         if self._link.synced:
-            self._reports.tell_held()
+            self._reports.report_held()
         for action in self._entry_selection.plan(now, self._is_busy):
-            self._notes.dealt(action, len(self._owners.connected))
+            self._notes.selection_changed(action, len(self._owners.connected))
             self._act(action)
         self._grant_requests.tick(now)
-        self._reports.tell_late(now, self._endpoint.speed)
-        self._reports.tell_state(now, self._state())
+        self._reports.report_late(now, self._endpoint.speed)
+        self._reports.report_state(now, self._state())
         actions = self._actions
         self._actions = []
         return actions
@@ -225,11 +225,11 @@
         return self._tick_by
 
     def renewal(self, now: float) -> _agent_events.Renewal:
-        """Return what the next call for a renewal is to say."""
+        """Return the arguments of the next renewal call."""
         return self._link.renewal(now)
 
     def _is_busy(self, entry: str) -> bool:
-        """Return whether an entry has runs here, or ends to hear of."""
+        """Return whether an entry has runs here or unconfirmed ends."""
         owner = self._owners.current(entry)
         if owner is None:
             return False
@@ -263,27 +263,29 @@
             case wire.ClaimRuns(runs):
                 self._on_claim(owner, runs)
             case wire.RoomWanted(start_by_s):
-                owner.wanted_by = now + (
+                owner.latest_start = now + (
                     _NEVER if start_by_s is None else start_by_s
                 )
             case wire.GrantLease(number, shorten_by_ms):
                 self._watch.note_answer(now, owner, number)
-                self._owners.granted(owner, number, shorten_by_ms)
+                self._owners.note_grant(owner, number, shorten_by_ms)
             case wire.CordonedZones():
                 self._on_cordons(owner, message)
             case wire.EntryList() | wire.Invite():
-                self._entry_selection.hear(now, message)
+                self._entry_selection.handle_message(now, message)
             case _:
                 return
 
     def _on_cordons(
         self, owner: _owners.Owner, state: wire.CordonedZones
     ) -> None:
-        """Take in which zones are cordoned, or correct the entry."""
+        """Update the cordoned zones, or send the entry a newer state."""
         if self._cordons.is_behind(state):
             self._send(owner, self._cordons.state)
         if self._cordons.learn(state):
-            self._notes.cordoned(state, self._cordons.covers(self._zone))
+            self._notes.cordons_changed(
+                state, self._cordons.covers(self._zone)
+            )
 
     def _on_order(
         self, now: float, owner: _owners.Owner, order: wire.OrderRuns
@@ -299,25 +301,27 @@
         if spec is None:
             self._refuse(now, owner, order, wire.NotStarted.REJECTED)
             return
-        full = []
+        refused = []
         started = 0
         for run in order.runs:
             key = _runs.RunKey.of(order.job, run)
             if self._runs.find(key) is not None:
                 continue
-            room = order.need.fits_in(self._acceptance.free)
-            if not room or self._runs.has_task(key):
-                full.append(run)
+            fits = order.need.fits_in(self._acceptance.free)
+            if not fits or self._runs.has_task(key):
+                refused.append(run)
                 continue
             started += 1
             self._start(now, owner, key, order, spec)
-        whole = started == len(order.runs)
-        self._owners.note_taken(now, owner, order, whole)
+        all_started = started == len(order.runs)
+        self._owners.note_started(now, owner, order, all_started)
         free = self._acceptance.free
-        self._notes.taken(owner, order, len(full), free, len(self._runs))
-        if full:
-            self._reports.tell_released(
-                owner, order.job, full, wire.NotStarted.FULL
+        self._notes.order_accepted(
+            owner, order, len(refused), free, len(self._runs)
+        )
+        if refused:
+            self._reports.report_released(
+                owner, order.job, refused, wire.NotStarted.FULL
             )
 
     def _refuse(
@@ -327,9 +331,9 @@
         order: wire.OrderRuns,
         reason: wire.NotStarted,
     ) -> None:
-        """Turn an order down as a whole."""
-        self._notes.released(now, owner, order, reason)
-        self._reports.tell_released(owner, order.job, order.runs, reason)
+        """Refuse all runs of an order."""
+        self._notes.order_refused(now, owner, order, reason)
+        self._reports.report_released(owner, order.job, order.runs, reason)
 
     def _start(
         self,
@@ -374,18 +378,18 @@
             row.need = held.need
             self._runs.add(row)
 
-    # Telling entries.
+    # Reports to entries.
 
     def _state(self) -> wire.EndpointState:
-        """Return the endpoint's state, but for what is an entry's own."""
-        seen = self._link.seen
-        if seen is None:
+        """Return the part of the endpoint's state that all entries share."""
+        heartbeat = self._link.heartbeat
+        if heartbeat is None:
             return wire.EndpointState(is_primary=False)
         return wire.EndpointState(
-            seen.incarnation,
-            seen.service,
-            seen.labels,
-            seen.capacity,
+            heartbeat.incarnation,
+            heartbeat.service,
+            heartbeat.labels,
+            heartbeat.capacity,
             self._acceptance.free,
             self._acceptance.is_open(self._now),
             remaining_s=self._acceptance.remaining_s(self._now),
@@ -399,7 +403,7 @@
 
 
 def _spec_of(order: wire.OrderRuns) -> str | None:
-    """Return what the endpoint is to run; none if it can't be unpacked."""
+    """Return the specification of an order; none if it can't be unpacked."""
     if not order.packed_spec:
         return order.spec
     try:
--- a/src/ferryledge/leases/_endpoint_watch.py
+++ b/src/ferryledge/leases/_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Follows an endpoint: which start it is, what it runs, how runs end."""
+"""Processes an endpoint's heartbeats and answers, and reports ended runs."""
 
 from collections import abc
 
@@ -16,7 +16,8 @@
 from ferryledge import wire
 
 Act = abc.Callable[[_agent_events.AgentAction], None]
-_RELEASES = {
+#: Reason that an entry gets for a run that the endpoint didn't start.
+_RELEASE_REASONS = {
     _agent_events.StartResult.FENCED: wire.NotStarted.REJECTED,
     _agent_events.StartResult.RUN_NUMBER: wire.NotStarted.RUN_NUMBER,
     _agent_events.StartResult.LATE: wire.NotStarted.NO_ANSWER,
@@ -27,21 +28,23 @@
     _agent_events.StartResult.DOWN: wire.NotStarted.ENDPOINT,
 }
 
-#: Ends that say whether an endpoint does what it is asked.
-_SPEAKS = (wire.HowEnded.DONE, wire.HowEnded.FAILED)
+#: Ends that count for an endpoint's failure rate.
+_COUNTED_ENDS = (wire.HowEnded.DONE, wire.HowEnded.FAILED)
 
 
 class EndpointWatch:
-    """Takes in what the endpoint says and tells entries what ended.
+    """Keeps the agent's runs consistent with the endpoint.
 
-    :param runs: what the endpoint holds
-    :param link: the link to the endpoint
-    :param owners: the entries
-    :param stopping: stops runs
-    :param reports: tells entries of ends
-    :param notes: what is decided
-    :param answer_times: how long answers to orders take
-    :param act: takes what is to be done
+    Runs that the endpoint has ended or lost are reported to their entries.
+
+    :param runs: the runs at the endpoint
+    :param link: what is known of the endpoint and its lease
+    :param owners: the entries and their grants
+    :param run_stopper: stops runs
+    :param reports: sends reports to entries
+    :param notes: records decisions for the log
+    :param answer_times: latency of calls that start runs
+    :param act: receives the actions
     :param now: monotonic seconds
     """
 
@@ -50,7 +53,7 @@
         runs: _runs.RunTable,
         link: _endpoint.EndpointLink,
         owners: _owners.OwnerTable,
-        stopping: _run_stopper.RunStopper,
+        run_stopper: _run_stopper.RunStopper,
         reports: _reports.Reports,
         notes: _agent_notes.AgentNotes,
         answer_times: _answer_times.AnswerTimes,
@@ -60,37 +63,40 @@
         self._runs = runs
         self._link = link
         self._owners = owners
-        self._run_stopper = stopping
+        self._run_stopper = run_stopper
         self._reports = reports
         self._notes = notes
         self._answer_times = answer_times
         self._act = act
-        #: How fast the endpoint works.
+        #: Estimate of the endpoint's speed.
         self.speed = _speed.EndpointSpeed()
-        #: What ends say of it, by the callers' zones.
+        #: The endpoint's failure rates by the callers' zones.
         self.failure_rates = _endpoint_history.ZoneFailureRates()
-        #: How often it went down.
+        #: The endpoint's recent outages.
         self.outages = _endpoint_history.Outages()
-        #: Since when runs wait to be claimed.
+        #: Since when there are runs that no entry has claimed.
         self.unclaimed_since = now
-        #: Whether the endpoint announced its end.
-        self._announced = False
-        #: The endpoint's clock as of the newest list of runs.
+        #: Whether the endpoint announced its shutdown.
+        self._shutdown_announced = False
+        #: The endpoint's clock in the latest list of runs.
         self._listed_clock_ms = 0
-        #: What was kept of the endpoint last, for this agent's next start.
-        self._kept: _agent_events.EndpointHeartbeat | None = None
+        #: The heartbeat that was last stored for this agent's next start, or
+        #: a later one without changes.
+        self._saved_heartbeat: _agent_events.EndpointHeartbeat | None = None
 
     def receive(self, now: float, event: _agent_events.AgentEvent) -> None:
-        """Take in what the endpoint said, or did not say."""
+        """Process a heartbeat, an answer or a failed call."""
         match event:
             case _agent_events.EndpointHeartbeat():
-                self._on_seen(now, event)
-            case _agent_events.EndpointRestored(seen):
-                if self._link.recall(seen, now):
-                    self._kept = seen
-                    self._notes.recalled(seen)
+                self._on_heartbeat(now, event)
+            case _agent_events.EndpointRestored(heartbeat):
+                if self._link.restore(heartbeat, now):
+                    self._saved_heartbeat = heartbeat
+                    self._notes.heartbeat_restored(heartbeat)
             case _agent_events.EndpointLeft():
-                self._announced |= self._link.leave(event.incarnation)
+                self._shutdown_announced |= self._link.note_shutdown(
+                    event.incarnation
+                )
             case _agent_events.LeaseRenewed():
                 self._on_renewed(now, event)
             case _agent_events.LeaseNotRenewed():
@@ -101,55 +107,63 @@
                 if confirmed and incarnation == self._link.incarnation:
                     self._run_stopper.confirmed(now, key)
 
-    def _on_seen(
-        self, now: float, seen: _agent_events.EndpointHeartbeat
+    def _on_heartbeat(
+        self, now: float, heartbeat: _agent_events.EndpointHeartbeat
     ) -> None:
-        known = self._link.seen
-        self._follow(now, self._link.see(seen, now))
-        self._note_endpoint(known)
-        if self._link.seen is not None:
-            self._announced = self._link.seen.draining
-        if self._link.seen is not seen:
-            self._notes.heartbeat_ignored(self._link.seen, seen)
-        if self._kept and self._kept.incarnation == self._link.incarnation:
-            self._keep_endpoint()
+        known = self._link.heartbeat
+        self._apply_change(now, self._link.receive_heartbeat(heartbeat, now))
+        self._log_heartbeat(known)
+        if self._link.heartbeat is not None:
+            self._shutdown_announced = self._link.heartbeat.draining
+        if self._link.heartbeat is not heartbeat:
+            self._notes.heartbeat_ignored(self._link.heartbeat, heartbeat)
+        if (
+            self._saved_heartbeat
+            and self._saved_heartbeat.incarnation == self._link.incarnation
+        ):
+            self._save_heartbeat()
 
-    def _note_endpoint(
+    def _log_heartbeat(
         self, known: _agent_events.EndpointHeartbeat | None
     ) -> None:
-        """Log what the endpoint is now, if that changed."""
-        seen = self._link.seen
-        if seen is not None and seen is not known:
-            self._notes.seen(known, seen)
+        """Log the current heartbeat if it is another than before."""
+        heartbeat = self._link.heartbeat
+        if heartbeat is not None and heartbeat is not known:
+            self._notes.endpoint_changed(known, heartbeat)
 
-    def _keep_endpoint(self) -> None:
-        """Keep what the endpoint is, now that it answered as that."""
-        seen = self._link.seen
-        if seen is None or seen is self._kept:
+    def _save_heartbeat(self) -> None:
+        """Store the current heartbeat if it differs from the stored one."""
+        heartbeat = self._link.heartbeat
+        if heartbeat is None or heartbeat is self._saved_heartbeat:
             return
-        if self._kept is None or not seen.has_same_description(self._kept):
-            self._act(_agent_events.SaveEndpoint(seen))
-        self._kept = seen
+        if self._saved_heartbeat is None or not heartbeat.has_same_description(
+            self._saved_heartbeat
+        ):
+            self._act(_agent_events.SaveEndpoint(heartbeat))
+        self._saved_heartbeat = heartbeat
 
-    def _follow(self, now: float, change: _endpoint.Change) -> None:
-        """Start anew if the endpoint is another, which runs nothing yet."""
+    def _apply_change(
+        self, now: float, change: _endpoint.IncarnationChange
+    ) -> None:
+        """Drop the runs and statistics of a replaced incarnation."""
         match change:
-            case _endpoint.Change.NONE:
+            case _endpoint.IncarnationChange.NONE:
                 return
-            case _endpoint.Change.REPLACED:
+            case _endpoint.IncarnationChange.REPLACED:
                 self._lose_all(now)
-            case _endpoint.Change.RESTARTED:
+            case _endpoint.IncarnationChange.RESTARTED:
                 self._lose_listed(now)
         self.speed = _speed.EndpointSpeed()
         self._listed_clock_ms = 0
         self.failure_rates.forget()
-        if not self._announced:
+        if not self._shutdown_announced:
             self.outages.note_down(now, started_anew=True)
 
     def _lose_listed(self, now: float) -> None:
-        """Take for lost what the start before is known to have had.
+        """End as lost the runs that the previous incarnation listed.
 
-        An order that it may not have had may still be carried out now.
+        The others may not have started yet, and the new incarnation may
+        still execute their delayed start calls. They are stopped.
         """
         crashed_jobs = self._crashed_jobs()
         for row in self._runs:
@@ -159,13 +173,13 @@
                 self._run_stopper.stop_after_restart(now, row)
 
     def check(self, now: float) -> None:
-        """Take for over what must be, by time; to be called in each tick."""
-        known = self._link.seen
-        change = self._link.give_way(now)
-        if change is not _endpoint.Change.NONE:
-            self._follow(now, change)
-            self._note_endpoint(known)
-        if not self._link.is_over(now):
+        """Apply timeouts; to be called in each tick."""
+        known = self._link.heartbeat
+        change = self._link.replace_unresponsive(now)
+        if change is not _endpoint.IncarnationChange.NONE:
+            self._apply_change(now, change)
+            self._log_heartbeat(known)
+        if not self._link.all_leases_expired(now):
             return
         self._link.synced = self._link.synced or not len(self._runs)
         self._lose_all(now)
@@ -174,11 +188,11 @@
         crashed_jobs = self._crashed_jobs()
         for row in self._runs.clear():
             how = wire.HowEnded.LOST
-            self._reports.tell_end(now, row, how, crashed_jobs)
+            self._reports.report_end(now, row, how, crashed_jobs)
 
     def _crashed_jobs(self) -> int:
-        """Return how many jobs lose runs; none if that was announced."""
-        if self._announced:
+        """Return how many jobs have runs; 0 after an announced shutdown."""
+        if self._shutdown_announced:
             return 0
         return len({row.key.job for row in self._runs})
 
@@ -207,7 +221,7 @@
             case _:
                 if event.result is _agent_events.StartResult.FENCED:
                     self._link.raise_token(event.clock_ms, now)
-                row.release_reason = _RELEASES[event.result]
+                row.release_reason = _RELEASE_REASONS[event.result]
                 if row.release_reason is wire.NotStarted.UNHEALTHY:
                     self._note_end(now, row, False)
                 self._end(now, row, wire.HowEnded.STOPPED)
@@ -217,16 +231,16 @@
     ) -> None:
         if event.incarnation != self._link.incarnation:
             return
-        known = self._link.seen
-        self._follow(now, self._link.answered(event.born_ms, now))
-        self._note_endpoint(known)
+        known = self._link.heartbeat
+        self._apply_change(now, self._link.note_start_time(event.born_ms, now))
+        self._log_heartbeat(known)
         had_token = bool(self._link.token)
         self._link.note_clock(event.clock_ms, now)
         if not had_token:
             return
         self._link.renewed(event.sent_at, now)
-        self._note_back(now)
-        self._keep_endpoint()
+        self._note_recovery(now)
+        self._save_heartbeat()
         self._notes.renewed()
         for end in event.ended:
             self._on_listed_end(now, end)
@@ -243,12 +257,12 @@
             if row.progress is not None:
                 row.progress.sample(now, run.done)
         if event.clock_ms > self._listed_clock_ms:
-            # An older list may come later, on another connection, and name
-            # runs whose end was taken in since.
+            # An older list may come later on another connection, and have
+            # runs whose end was processed since.
             self._listed_clock_ms = event.clock_ms
             for key in listed:
                 self._adopt(now, key)
-        self.speed.update(now, self._paces())
+        self.speed.update(now, self._run_progress())
         self._link.synced = True
 
     def _on_not_renewed(
@@ -258,18 +272,18 @@
         if event.incarnation != self._link.incarnation:
             return
         self._link.failed(event.fault)
-        if self._link.is_down and not self._announced:
+        if self._link.is_down and not self._shutdown_announced:
             self.outages.note_down(now)
         match event.fault:
             case _agent_events.CallFault.FENCED:
                 self._link.raise_token(event.clock_ms, now)
             case _agent_events.CallFault.REPLACED:
-                self._follow(now, self._link.refute(now))
-                self._note_endpoint(None)
+                self._apply_change(now, self._link.handle_replacement(now))
+                self._log_heartbeat(None)
             case _:
                 pass
 
-    def _paces(self) -> list[_speed.RunProgress]:
+    def _run_progress(self) -> list[_speed.RunProgress]:
         return [
             row.progress
             for row in self._runs
@@ -283,7 +297,7 @@
         row = self._runs.find(end.key)
         if row is not None:
             row.confirmed_at = row.confirmed_at or row.ordered_at
-            if end.how in _SPEAKS:
+            if end.how in _COUNTED_ENDS:
                 self._note_end(now, row, end.how is wire.HowEnded.DONE)
             self._end(now, row, end.how)
 
@@ -292,14 +306,14 @@
         if owner is not None:
             self.failure_rates.note_end(now, owner.zone, row.key.job, ok)
 
-    def _note_back(self, now: float) -> None:
-        """Count an outage that is over."""
+    def _note_recovery(self, now: float) -> None:
+        """Record the end of an outage, if there was one."""
         away_s = self.outages.note_up(now)
         if away_s is not None:
-            self._notes.back(away_s, self.outages.steady(now))
+            self._notes.outage_ended(away_s, self.outages.steady(now))
 
     def _adopt(self, now: float, key: _runs.RunKey) -> None:
-        """Keep a run that this incarnation of the agent did not order."""
+        """Add a run that an earlier incarnation of the agent started."""
         row = _runs.RunRow(
             key, "", wire.Resources(), _runs.RunState.RUNNING, now
         )
@@ -309,7 +323,7 @@
             self.unclaimed_since = now
         self._runs.add(row)
         for owner in self._owners.connected:
-            owner.wants_held = True
+            owner.needs_held_report = True
 
     def _end(
         self,
@@ -319,4 +333,4 @@
         crashed_jobs: int = 0,
     ) -> None:
         self._runs.remove(row.key)
-        self._reports.tell_end(now, row, how, crashed_jobs)
+        self._reports.report_end(now, row, how, crashed_jobs)
--- a/src/ferryledge/leases/_grant_requests.py
+++ b/src/ferryledge/leases/_grant_requests.py
@@ -1,4 +1,4 @@
-"""When an agent asks entries for the right to renew their runs."""
+"""Requests grants from entries and closes unresponsive streams."""
 
 from collections import abc
 
@@ -10,13 +10,13 @@
 Act = abc.Callable[[_agent_events.AgentAction], None]
 
 
-class Asking:
-    """Asks each entry when that is due, and gives up silent streams.
+class GrantRequests:
+    """Sends each entry a request for a grant when one is due.
 
-    :param owners: the entries
-    :param runs: what the endpoint holds
-    :param watch: looks for streams that owe an answer
-    :param act: takes what is to be done
+    :param owners: the entries and their grants
+    :param runs: the runs at the endpoint
+    :param watch: detects streams with overdue answers
+    :param act: receives the actions
     """
 
     def __init__(
@@ -32,16 +32,16 @@
         self._act = act
 
     def tick(self, now: float) -> None:
-        """Send the asks that are due."""
+        """Send the requests that are due."""
         if now >= self._owners.ask_due_at:
             for owner in self._owners.connected:
                 if now >= owner.next_ask_at:
-                    self._ask_or_leave(now, owner)
+                    self._ask_or_close(now, owner)
             self._owners.plan_asks()
         for owner in self._watch.reopen_silent(now):
             self._ask(now, owner, at_once=True)
 
-    def _ask_or_leave(self, now: float, owner: _owners.Owner) -> None:
+    def _ask_or_close(self, now: float, owner: _owners.Owner) -> None:
         if self._owners.is_silent(owner, now):
             self._owners.leave(owner.name, owner.incarnation)
             self._act(_agent_events.CloseStream(owner.name))
