--- a/src/ferryledge/leases/_moving.py
+++ b/src/ferryledge/leases/_moving.py
@@ -1,4 +1,4 @@
-"""Which runs on a slow endpoint are worth starting again elsewhere."""
+"""Decides which late runs are stopped and started again elsewhere."""
 
 import math
 
@@ -6,15 +6,15 @@
 from ferryledge.leases import _pool
 from ferryledge import wire
 
-#: Most times that one task is moved.
-_MOST_MOVES = 2
-#: Seconds that a stop and a new order take together.
+#: Most moves of a task.
+_MAX_MOVES = 2
+#: Seconds that stopping a run and ordering another one take.
 _MOVE_S = 0.08
-#: A run takes longer than expected by more than so many deviations one time in
-#: ten: what stands still beyond that hangs, whatever its endpoint says.
+#: Standard deviations above the expected run time (log-normal) within which
+#: nine of ten runs end; a run without progress after that hangs.
 _LIKELY_DEVIATIONS = 1.28
-#: A new run must take less than this share of what is left of the old one.
-_WORTH_SHARE = 0.85
+#: Largest ratio of the time of a new run to the remaining time of the old one.
+_MAX_RATIO = 0.85
 
 
 def is_worth_moving(
@@ -29,18 +29,18 @@
     :param now: monotonic seconds
     :param job: the task's job
     :param task: the task
-    :param late: what its agent tells of the run
-    :param pool: the agents
+    :param late: the report of its agent on the late run
+    :param pool: the agents that this entry knows
     """
-    if task.stopping or task.moves >= _MOST_MOVES or job.closed:
+    if task.stopping or task.moves >= _MAX_MOVES or job.closed:
         return False
     if late.left_s is None and _may_be_large(now, job, task, pool):
         return False
     normal_s = late.normal_s
     if normal_s is None:
         normal_s = job.expected_s
-    again_s = normal_s + _MOVE_S
-    if late.left_s is not None and again_s > _WORTH_SHARE * late.left_s:
+    new_run_s = normal_s + _MOVE_S
+    if late.left_s is not None and new_run_s > _MAX_RATIO * late.left_s:
         return False
     if late.left_s is not None and now + late.left_s < job.objective_at:
         return False
@@ -50,9 +50,9 @@
 def _may_be_large(
     now: float, job: _jobs.Job, task: _jobs.Task, pool: _pool.Pool
 ) -> bool:
-    """Return whether a run without progress may only be a large one.
+    """Return whether a run without progress may just be a large one.
 
-    On a slow endpoint all runs stand still, and none needs that doubt.
+    On a slow endpoint the endpoint itself explains the lack of progress.
     """
     row = pool.find(task.agent)
     if row is None or row.slow:
@@ -64,6 +64,7 @@
 def _has_room(
     now: float, job: _jobs.Job, task: _jobs.Task, pool: _pool.Pool
 ) -> bool:
+    """Return whether another usable endpoint could run a task."""
     need = job.request.steps[task.step].need
     return any(
         row.name != task.agent
--- a/src/ferryledge/leases/_placing.py
+++ b/src/ferryledge/leases/_placing.py
@@ -1,9 +1,11 @@
-"""Which waiting task goes to which endpoint.
-
-It answers endpoints of unequal speed, data, labels and trust: those with
-evidence against them come last, fast ones near the data first, those that
-started lately and are cold late, a slow one gets one run at a time, and no
-task goes back to where it failed while others are left.
+"""Assigns waiting tasks to endpoints.
+
+Endpoints are tried in order of preference: trusted before suspect ones, warm
+before cold ones, those whose agents keep this entry up to date before others,
+and fast before slow ones. Each entry breaks ties differently. The tasks of a
+step go to endpoints near its data first. A slow endpoint gets one run at a
+time, and a task does not return to an endpoint where it failed while there
+are others.
 """
 
 from collections import abc
@@ -21,13 +23,13 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Slowness differences below this share are taken as noise.
-_SLOWNESS_GRAIN = 0.1
+#: Width of the steps to which slowness is rounded down for the order.
+_SLOWNESS_STEP = 0.1
 _WAITING = _jobs.TaskState.WAITING
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """Tasks of one step of a job for one agent."""
+    """Tasks of one step of a job that go to one agent."""
 
     job: _jobs.Job
     step: int
@@ -36,13 +38,13 @@
 
     @property
     def work(self) -> float:
-        """Core-seconds that they are expected to take."""
+        """The expected run time of the tasks in core-seconds."""
         need = self.job.request.steps[self.step].need
         return self.job.expected_s * need.cpu_millis / 1e3 * len(self.tasks)
 
 
-def _preference(name: str, row: _pool.AgentRow) -> int:
-    """Return a rank that differs between entries, to spread their orders."""
+def _tie_break(name: str, row: _pool.AgentRow) -> int:
+    """Return a pseudorandom rank, so that entries prefer other endpoints."""
     text = f"{name}|{row.name}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=2).digest())
 
@@ -50,12 +52,13 @@
 class Placing:
     """Chooses endpoints for waiting tasks.
 
-    :param name: this entry
-    :param pool: the agents
-    :param run_times: what was learned of run times and speeds
-    :param far_factor: how many times as long a task takes away from its data
+    :param name: the name of this entry
+    :param pool: the agents that this entry knows
+    :param run_times: the learned run times and speeds
+    :param far_factor: factor by which a task takes longer on an endpoint that
+        is not near its data
     :param turns: the order of waiting jobs
-    :param retries: how many tasks may be tried again
+    :param retries: limits how many failed tasks are started again
     """
 
     def __init__(
@@ -73,18 +76,21 @@
         self._far_factor = far_factor
         self._turns = turns
         self._retries = retries
-        #: Endpoints that are used in part, with the share to use.
-        self._shares: dict[str, float] = {}
+        #: Shares of the capacity to use, for endpoints that flap.
+        self._usable_shares: dict[str, float] = {}
         self._ranks: dict[str, int] = {}
 
     def place(
         self, now: float, jobs: abc.Iterable[_jobs.Job], gap_s: float = 0.0
     ) -> abc.Iterator[Placement]:
-        """Yield placements; each is to be ordered before the next is asked.
+        """Yield placements.
+
+        The caller orders each placement before it takes the next one, since
+        the next one depends on the room that is left.
 
         :param now: monotonic seconds
-        :param jobs: those with waiting tasks
-        :param gap_s: seconds between two starts while the pool is full
+        :param jobs: the jobs with waiting tasks
+        :param gap_s: expected seconds between two starts of waiting tasks
         """
         waiting = self._turns.sort(now, jobs, gap_s)
         if not waiting:
@@ -92,40 +98,40 @@
         open_rows = [
             row
             for row in self._pool
-            if row.usable(now) and (not row.slow or row.may_try(now))
+            if row.usable(now) and (not row.slow or row.may_run_trial(now))
         ]
         if self._turns.rules.damped_flaps:
             held_back = _quarantine.held_back(self._pool)
         else:
             held_back = {}
-        least = min(_smallest_cpu(job) for job in waiting)
-        rows = _with_room(open_rows, least)
-        self._shares = held_back
+        min_cpu = min(_smallest_cpu(job) for job in waiting)
+        rows = _with_room(open_rows, min_cpu)
+        self._usable_shares = held_back
         rows.sort(key=self._order)
         for job in waiting:
             if not rows:
                 return
             _forget_avoided(job, open_rows)
             placed = False
-            # Late for want of better room is no better than lost.
-            self._shares = {} if _has_waited(now, job) else held_back
+            # A job that has waited long may use flapping endpoints fully.
+            self._usable_shares = {} if _has_waited(now, job) else held_back
             for chosen in self._place_job(now, job, rows):
                 placed = True
                 yield chosen
             if placed:
-                rows = _with_room(rows, least)
+                rows = _with_room(rows, min_cpu)
 
     def _order(self, row: _pool.AgentRow) -> tuple[bool, bool, bool, int, int]:
         slowness = 0.0
         if self._turns.rules.fast_first:
-            seen = self._run_times.slowness(row.name)
-            slowness = max(seen, row.state.slowness)
+            learned = self._run_times.slowness(row.name)
+            slowness = max(learned, row.state.slowness)
         rank = self._ranks.get(row.name)
         if rank is None:
-            rank = self._ranks[row.name] = _preference(self._name, row)
-        steps = int(slowness / _SLOWNESS_GRAIN)
-        shaky = row.doubted or row.name in self._shares
-        return (shaky, row.state.cold, not row.state.home, steps, rank)
+            rank = self._ranks[row.name] = _tie_break(self._name, row)
+        steps = int(slowness / _SLOWNESS_STEP)
+        untrusted = row.doubted or row.name in self._usable_shares
+        return (untrusted, row.state.cold, not row.state.home, steps, rank)
 
     def _place_job(
         self, now: float, job: _jobs.Job, rows: list[_pool.AgentRow]
@@ -133,30 +139,34 @@
         by_step: dict[int, list[_jobs.Task]] = {}
         for task in job.startable():
             by_step.setdefault(task.step, []).append(task)
-        for number, tasks in by_step.items():
-            step = job.request.steps[number]
-            near = self._by_nearness(now, job, step, rows)
+        for step_number, tasks in by_step.items():
+            step = job.request.steps[step_number]
+            candidates = self._by_nearness(now, job, step, rows)
             if any(task.crashes for task in tasks):
-                # If it takes this one down as well, nobody else is there to
-                # lose a run or to be blamed.
-                near = sorted(near, key=_is_in_use)
+                # Prefer idle endpoints: if the task crashes another one, no
+                # other run is lost, and the cause is unambiguous.
+                candidates = sorted(candidates, key=_is_busy)
             if any(task.failures for task in tasks):
-                bad = _quarantine.doubted_zones(self._pool)
-                near = sorted(near, key=lambda row: row.zone in bad)
-            for row in near:
+                suspect_zones = _quarantine.doubted_zones(self._pool)
+                candidates = sorted(
+                    candidates, key=lambda row: row.zone in suspect_zones
+                )
+            for row in candidates:
                 if not tasks:
                     break
-                again = self._may_retry(now)
-                chosen = self._choose(job, step, number, row, tasks, again)
+                max_retries = self._retries_left(now)
+                chosen = self._choose(
+                    job, step, step_number, row, tasks, max_retries
+                )
                 if chosen:
-                    tasks = [one for one in tasks if one not in chosen]
-                    yield Placement(job, number, row, tuple(chosen))
+                    tasks = [other for other in tasks if other not in chosen]
+                    yield Placement(job, step_number, row, tuple(chosen))
 
-    def _may_retry(self, now: float) -> int:
-        """Return how many tasks may be tried again now."""
+    def _retries_left(self, now: float) -> int:
+        """Return how many failed tasks may be started again now."""
         if not self._turns.rules.retry_budget:
             return sys.maxsize
-        return self._retries.left(now)
+        return self._retries.available(now)
 
     def _by_nearness(
         self,
@@ -165,17 +175,19 @@
         step: _jobs.JobStep,
         rows: list[_pool.AgentRow],
     ) -> list[_pool.AgentRow]:
-        """Return the endpoints near a step's data, then others if need be.
+        """Return the endpoints for a step, those near its data first.
 
-        Away from its data a task waits for room near them as long as it
-        would be late elsewhere anyway.
+        Other endpoints are left out while the job would miss its objective
+        there but could still meet it near its data.
         """
         if not step.near:
             return rows
         near = [row for row in rows if step.near in row.state.labels]
         far = [row for row in rows if step.near not in row.state.labels]
-        in_time = now + job.expected_s * self._far_factor < job.objective_at
-        if in_time or now > job.start_by:
+        far_in_time = (
+            now + job.expected_s * self._far_factor < job.objective_at
+        )
+        if far_in_time or now > job.start_by:
             return near + far
         return near
 
@@ -183,14 +195,19 @@
         self,
         job: _jobs.Job,
         step: _jobs.JobStep,
-        number: int,
+        step_number: int,
         row: _pool.AgentRow,
         tasks: list[_jobs.Task],
-        again: int,
+        max_retries: int,
     ) -> list[_jobs.Task]:
-        """Return the tasks of a step that an endpoint takes now.
-
-        :param again: how many of them may have failed before
+        """Return the tasks of a step that can start on an endpoint now.
+
+        :param job: the job
+        :param step: the step
+        :param step_number: the number of the step
+        :param row: the endpoint's agent
+        :param tasks: the waiting tasks of the step
+        :param max_retries: the most tasks to return that have failed before
         """
         if row.state.service != job.request.job_class.service:
             return []
@@ -199,20 +216,22 @@
         left_s = row.state.remaining_s
         if left_s and job.expected_s * _timing.RUN_MARGIN > left_s:
             return []
-        most = step.max_per_endpoint or len(tasks)
-        room = _quarantine.room_of(row, self._shares.get(row.name, 1.0), most)
+        limit = step.max_per_endpoint or len(tasks)
+        room = _quarantine.room_of(
+            row, self._usable_shares.get(row.name, 1.0), limit
+        )
         free = room.free
-        most = room.tasks
+        limit = room.tasks
         if row.slow:
-            most = 1 if row.free == row.state.capacity else 0
+            limit = 1 if row.free == row.state.capacity else 0
         if step.max_per_endpoint:
-            most -= sum(
+            limit -= sum(
                 task.agent == row.name and task.state is not _WAITING
-                for task in job.tasks[number]
+                for task in job.tasks[step_number]
             )
         chosen: list[_jobs.Task] = []
-        for task in _allowed(row, tasks, again):
-            if len(chosen) >= most or not step.need.fits_in(free):
+        for task in _allowed(row, tasks, max_retries):
+            if len(chosen) >= limit or not step.need.fits_in(free):
                 break
             chosen.append(task)
             free = free.minus(step.need)
@@ -220,30 +239,30 @@
 
 
 def _allowed(
-    row: _pool.AgentRow, tasks: list[_jobs.Task], again: int
+    row: _pool.AgentRow, tasks: list[_jobs.Task], max_retries: int
 ) -> abc.Iterator[_jobs.Task]:
-    """Yield the tasks that may go to an endpoint.
+    """Yield the tasks that may start on an endpoint.
 
-    :param row: the agent beside it
-    :param tasks: those that wait
-    :param again: how many of them may have failed before
+    :param row: the endpoint's agent
+    :param tasks: the waiting tasks
+    :param max_retries: the most tasks to yield that have failed before
     """
     for task in tasks:
         if row.name in task.avoid:
             continue
         if task.failures:
-            if not again:
+            if not max_retries:
                 continue
-            again -= 1
+            max_retries -= 1
         yield task
 
 
 def _has_waited(now: float, job: _jobs.Job) -> bool:
-    """Return whether half of the time is over for which a job may wait."""
+    """Return whether a job waited for half of the time that it may wait."""
     return now > (job.arrived_at + job.start_by) / 2.0
 
 
-def _is_in_use(row: _pool.AgentRow) -> bool:
+def _is_busy(row: _pool.AgentRow) -> bool:
     return row.free != row.state.capacity
 
 
@@ -254,16 +273,16 @@
 def _with_room(
     rows: list[_pool.AgentRow], cpu_millis: int
 ) -> list[_pool.AgentRow]:
-    """Return the rows that have at least so much of a processor free.
+    """Return the rows with at least this much free processor time.
 
-    One that has none at all is left out even for tasks that ask for none.
+    A row without any is left out even if the tasks need none.
     """
-    least = max(1, cpu_millis)
-    return [row for row in rows if row.free.cpu_millis >= least]
+    min_cpu = max(1, cpu_millis)
+    return [row for row in rows if row.free.cpu_millis >= min_cpu]
 
 
 def _forget_avoided(job: _jobs.Job, rows: list[_pool.AgentRow]) -> None:
-    """Let tasks run anywhere again that have been everywhere already."""
+    """Clear the list of avoided endpoints of tasks that avoid all of them."""
     avoiding = [task for task in job.startable() if task.avoid]
     if not avoiding:
         return
@@ -276,7 +295,7 @@
 def unfit_steps(
     pool: _pool.Pool, job: _jobs.Job
 ) -> abc.Iterator[_jobs.JobStep]:
-    """Yield the steps of a job that no endpoint that is known could run."""
+    """Yield the steps of a job that no known endpoint could ever run."""
     service = job.request.job_class.service
     for step in job.request.steps:
         if not fits_somewhere(pool, step, service):
@@ -284,29 +303,29 @@
 
 
 def is_unfit(pool: _pool.Pool, job: _jobs.Job) -> bool:
-    """Return whether no endpoint that is known could run some step."""
+    """Return whether some step of a job fits no known endpoint."""
     return next(unfit_steps(pool, job), None) is not None
 
 
 def fits_somewhere(
     pool: _pool.Pool, step: _jobs.JobStep, service: str
 ) -> bool:
-    """Return whether some endpoint that is known could run a task.
+    """Return whether a known endpoint could run a task of a step.
 
-    An endpoint whose capacity is unknown speaks neither way, and one in a
-    cordoned availability zone takes nothing.
+    Endpoints of unknown capacity or in a cordoned availability zone do not
+    count.
     """
-    nothing = wire.Resources()
+    unknown = wire.Resources()
     return any(
         row.state.service == service
         and not row.cordoned
-        and row.state.capacity != nothing
+        and row.state.capacity != unknown
         and fits(row, step)
         for row in pool
     )
 
 
 def fits(row: _pool.AgentRow, step: _jobs.JobStep) -> bool:
-    """Return whether an endpoint where nothing runs could run a task."""
-    labelled = not step.label or step.label in row.state.labels
-    return labelled and step.need.fits_in(row.state.capacity)
+    """Return whether a task of a step could run on an idle endpoint."""
+    has_label = not step.label or step.label in row.state.labels
+    return has_label and step.need.fits_in(row.state.capacity)
--- a/src/ferryledge/leases/_pool.py
+++ b/src/ferryledge/leases/_pool.py
@@ -1,4 +1,4 @@
-"""The agents that an entry can use, and the room at their endpoints."""
+"""The agents that an entry knows, and the free room of their endpoints."""
 
 from collections import abc
 
@@ -10,21 +10,20 @@
 from ferryledge import wire
 
 #: Seconds without a message after which an agent gets no new runs.
-_QUIET_S = 0.45
-#: The same for an agent that is asked seldom.
-_FAR_QUIET_S = 0.7
-#: Seconds between single runs on an endpoint that was slow.
-_TRY_EVERY_S = 1.0
-#: Seconds without a usable agent after which jobs are not kept waiting.
-_HOPE_S = 2.0
-#: Seconds after the first usable agent in which the others are likely to
-#: come: after a loss of power all of them were back within 0.3 s of it.
+_RECENT_S = 0.45
+#: The same for an agent that reports to this entry less often.
+_SECONDARY_RECENT_S = 0.7
+#: Seconds between trial runs on a slow endpoint.
+_TRIAL_INTERVAL_S = 1.0
+#: Seconds for which jobs are kept waiting after the last usable agent is lost.
+_RECOVERY_S = 2.0
+#: Seconds after the first usable agent within which the others are expected.
 _SETTLE_S = 0.4
 _UNKNOWN = wire.EndpointState()
 
 
 class AgentRow(msgspec.Struct):
-    """One agent with its endpoint."""
+    """An agent and the state of its endpoint, as this entry knows them."""
 
     name: str
     incarnation: str
@@ -32,42 +31,43 @@
     zone: str = ""
     connected: bool = True
     leaving: bool = False
-    #: Whether it takes packed texts.
+    #: Whether it accepts compressed texts.
     packed_texts: bool = False
-    #: Whether it told what it holds for this entry.
+    #: Whether it listed the runs that it holds for this entry.
     reconciled: bool = False
     state: wire.EndpointState = _UNKNOWN
     heard_at: float = 0.0
-    #: When this entry granted it the right to renew, last.
+    #: When this entry last granted it the right to renew leases.
     granted_at: float = float("-inf")
-    #: Number of its last ask for a grant.
+    #: Number of its last request for a grant.
     ask_seen: int = 0
-    #: Number of the last ask that was answered, by an order or otherwise.
+    #: Number of the last request that was answered, by an order or a grant.
     ask_answered: int = 0
-    #: When an ask was answered last.
+    #: When a request was last answered.
     answered_at: float = float("-inf")
     #: Number of the last order.
     orders: int = 0
-    #: What orders took that its last state does not account for.
+    #: Resources of the orders that its last state does not include yet, by
+    #: order number.
     in_flight: dict[int, wire.Resources] = msgspec.field(default_factory=dict)
-    #: Runs of this entry that it may hold, with their jobs' names.
+    #: Runs of this entry that it may hold, each with the name of its job.
     runs: set[tuple[str, wire.TaskRun]] = msgspec.field(default_factory=set)
-    #: Whether its endpoint takes work by the judge of health.
+    #: Whether the health judge lets its endpoint take work.
     healthy: bool = True
-    #: Whether it gets one task, whose end decides on its health.
+    #: Whether its next task is a probe, whose end decides on its health.
     on_trial: bool = False
-    #: Failure rate that its agent tells for callers of this zone.
-    told_rate: float = 0.0
-    #: Whether there is evidence against it for callers of this zone.
+    #: Failure rate that its agent reports for callers of this zone.
+    reported_failure_rate: float = 0.0
+    #: Whether its failure rate for callers of this zone is high.
     doubted: bool = False
     #: Whether its zone takes no new work.
     cordoned: bool = False
-    #: When a run was last tried on it while it was slow.
-    tried_at: float = float("-inf")
+    #: When a trial run was last ordered there while it was slow.
+    trial_at: float = float("-inf")
 
     @property
     def free(self) -> wire.Resources:
-        """Room that neither its state nor an order in flight takes."""
+        """Free room, less what orders in flight take."""
         free = self.state.free
         for need in self.in_flight.values():
             free = free.minus(need)
@@ -75,19 +75,19 @@
 
     @property
     def slow(self) -> bool:
-        """Whether runs take far longer there than they should.
+        """Whether runs take far longer there than expected.
 
-        One that is cold does what it should.
+        A cold endpoint is expected to be slow.
         """
         return self.state.slowness >= _speed.SLOW_FROM and not self.state.cold
 
-    def may_try(self, now: float) -> bool:
-        """Return whether a slow endpoint may get one run, to see."""
+    def may_run_trial(self, now: float) -> bool:
+        """Return whether a slow endpoint may get a trial run."""
         idle = self.free == self.state.capacity
-        return idle and now - self.tried_at > _TRY_EVERY_S
+        return idle and now - self.trial_at > _TRIAL_INTERVAL_S
 
     def usable(self, now: float) -> bool:
-        """Return whether new runs may be ordered there."""
+        """Return whether new runs may be ordered at its endpoint."""
         return (
             self.connected
             and self.reconciled
@@ -95,19 +95,19 @@
             and not self.cordoned
             and self.healthy
             and self.state.accepting
-            and self.is_heard(now)
+            and self.heard_recently(now)
         )
 
-    def is_heard(self, now: float) -> bool:
-        """Return whether the agent sent anything lately."""
-        quiet_s = _QUIET_S if self.state.home else _FAR_QUIET_S
-        return now - self.heard_at < quiet_s
+    def heard_recently(self, now: float) -> bool:
+        """Return whether the agent sent a message recently."""
+        max_age_s = _RECENT_S if self.state.home else _SECONDARY_RECENT_S
+        return now - self.heard_at < max_age_s
 
 
 class Pool:
     """All agents that an entry knows.
 
-    :param timing: the lease rule
+    :param timing: the timing of leases
     :param cordons: the availability zones that take no new work
     """
 
@@ -117,23 +117,23 @@
         self._timing = timing
         self._cordons = cordons
         self._rows: dict[str, AgentRow] = {}
-        #: When some agent was usable, last.
+        #: When an agent was last usable, or when this was first checked.
         self._usable_at: float | None = None
-        #: When some agent became usable after none was.
+        #: When an agent last became usable after none had been.
         self._recovered_at = float("-inf")
         self._was_usable = False
-        #: Whether the last usable agents went silent rather than away.
+        #: Whether the last usable agents fell silent on open streams.
         self._went_silent = False
 
     def __iter__(self) -> abc.Iterator[AgentRow]:
         return iter(list(self._rows.values()))
 
     def find(self, name: str) -> AgentRow | None:
-        """Return an agent, or none."""
+        """Return the agent of this name, or ``None``."""
         return self._rows.get(name)
 
     def join(self, now: float, hello: wire.Hello) -> AgentRow:
-        """Note that an agent's stream is open."""
+        """Register an agent whose stream was opened."""
         row = self._rows.get(hello.name)
         if row is None:
             row = AgentRow(hello.name, hello.incarnation)
@@ -155,36 +155,42 @@
         return row
 
     def leave(self, name: str, incarnation: str) -> None:
-        """Note that an agent's stream broke."""
+        """Note that the stream of an agent was closed."""
         row = self._rows.get(name)
         if row is not None and row.incarnation == incarnation:
             row.connected = False
             row.reconciled = False
 
     def set_state(self, row: AgentRow, state: wire.EndpointState) -> None:
-        """Take in what an agent says of its endpoint."""
+        """Store the reported state of an endpoint.
+
+        Orders that the state includes are no longer in flight.
+        """
         row.state = state
         seen = [n for n in row.in_flight if n <= state.orders_seen]
         for number in seen:
             del row.in_flight[number]
 
-    def order(self, row: AgentRow, need: wire.Resources, count: int) -> int:
-        """Take the room of an order and return the order's number."""
+    def reserve(self, row: AgentRow, need: wire.Resources, count: int) -> int:
+        """Reserve room for an order of alike runs.
+
+        :return: the number of the order
+        """
         row.orders += 1
         row.in_flight[row.orders] = wire.Resources().plus(need, count)
         return row.orders
 
     def must_answer(self, row: AgentRow, now: float) -> bool:
-        """Return whether an agent's ask for a grant wants an answer now.
+        """Return whether an agent's request for a grant is answered now.
 
-        Without runs there, an order brings its own grant; an answer now and
-        then shows that this entry is alive.
+        An agent without runs needs no grant, since each order brings one. It
+        is still answered from time to time, as a sign of life.
         """
         idle_s = now - row.answered_at
         return bool(row.runs) or idle_s >= self._timing.idle_answer_every_s
 
     def silent(self, now: float) -> list[AgentRow]:
-        """Return the connected agents that are silent for too long."""
+        """Return the connected agents that have been silent for too long."""
         return [
             row
             for row in self._rows.values()
@@ -197,7 +203,7 @@
         return self._timing.far_silence_s
 
     def over(self, now: float) -> list[AgentRow]:
-        """Return agents without a stream whose runs must all be over."""
+        """Return the disconnected agents whose leases must have expired."""
         return [
             row
             for row in self._rows.values()
@@ -207,27 +213,27 @@
         ]
 
     def forgive_silence(self, now: float) -> None:
-        """Start counting silence anew: this process was paused itself."""
+        """Restart the silence timers after a pause of this process."""
         for row in self._rows.values():
             row.heard_at = now
 
     def apply_cordons(self) -> None:
-        """Take in that other zones are cordoned than before."""
+        """Update which agents are cordoned, after the cordons changed."""
         for row in self._rows.values():
             row.cordoned = self._cordons.covers(row.zone)
 
     @property
     def all_cordoned(self) -> bool:
-        """Whether no agent that is known may get new work."""
+        """Whether there are agents, and all of them are cordoned."""
         rows = self._rows.values()
         return bool(rows) and all(row.cordoned for row in rows)
 
     def is_usable(self, now: float) -> bool:
-        """Return whether some endpoint takes work."""
+        """Return whether any endpoint takes new work."""
         return any(row.usable(now) for row in self._rows.values())
 
     def note_usable(self, now: float) -> None:
-        """Note whether some endpoint takes work; to be called often."""
+        """Track when endpoints take new work; called on each tick."""
         usable = self.is_usable(now)
         if usable and not self._was_usable:
             self._recovered_at = now
@@ -238,18 +244,18 @@
             self._usable_at = now
 
     def _is_silent(self, now: float) -> bool:
-        """Return whether agents say nothing on streams that are open."""
+        """Return whether an agent is silent while its stream is open."""
         return any(
-            row.connected and row.reconciled and not row.is_heard(now)
+            row.connected and row.reconciled and not row.heard_recently(now)
             for row in self._rows.values()
         )
 
     def may_recover(self, now: float) -> bool:
-        """Return whether agents are likely to come back soon.
+        """Return whether lost agents are likely to come back soon.
 
-        Those that were killed are; where all went silent this entry is cut
-        off from them, and other entries serve its clients: a job waited 1.4 s
-        for its refusal, and waits a quarter of its objective now.
+        Agents whose streams closed were probably restarted. If they fell
+        silent on open streams, this entry is probably cut off from them, and
+        its clients are better served by other entries.
         """
         if self.is_usable(now):
             return now - self._recovered_at < _SETTLE_S
@@ -257,20 +263,22 @@
             return False
         if self._usable_at is None or self._went_silent:
             return False
-        return now - self._usable_at < _HOPE_S
+        return now - self._usable_at < _RECOVERY_S
 
     def sharers(self, now: float, service: str | None = None) -> float:
-        """Return how many entries share a core that can be used.
+        """Return how many entries share a usable core, on average.
 
         :param now: monotonic seconds
-        :param service: the endpoints'; none is any
+        :param service: the service of the endpoints; defaults to all
         """
         cores = 0.0
-        parts = 0.0
+        cores_per_entry = 0.0
         for row in self._usable(now, service):
             cores += row.state.capacity.cpu_millis
-            parts += row.state.capacity.cpu_millis / row.state.entries
-        return cores / parts if parts else 1.0
+            cores_per_entry += (
+                row.state.capacity.cpu_millis / row.state.entries
+            )
+        return cores / cores_per_entry if cores_per_entry else 1.0
 
     def _usable(
         self, now: float, service: str | None
@@ -280,10 +288,10 @@
                 yield row
 
     def capacity_cores(self, now: float, service: str | None = None) -> float:
-        """Return the cores of the endpoints that can be used.
+        """Return the cores of all usable endpoints.
 
         :param now: monotonic seconds
-        :param service: theirs; none is any
+        :param service: the service of the endpoints; defaults to all
         """
         return sum(
             row.state.capacity.cpu_millis / 1000.0
@@ -291,7 +299,7 @@
         )
 
     def free_cores(self, now: float, service: str) -> float:
-        """Return the cores of usable endpoints on which nothing runs."""
+        """Return the free cores of the usable endpoints of a service."""
         return sum(
             max(0, row.free.cpu_millis) / 1000.0
             for row in self._usable(now, service)
@@ -300,7 +308,10 @@
     def leaving_cores(
         self, now: float, service: str
     ) -> abc.Iterator[tuple[float, float]]:
-        """Yield when usable endpoints go, in seconds, and with what cores."""
+        """Yield the cores of usable endpoints that will leave.
+
+        :return: pairs of the seconds until then and the cores
+        """
         for row in self._usable(now, service):
             if row.state.remaining_s:
                 left_s = row.state.remaining_s - (now - row.heard_at)
@@ -309,15 +320,17 @@
     def returning_cores(
         self, now: float, service: str
     ) -> abc.Iterator[tuple[float, float]]:
-        """Yield when lost agents are likely back, in seconds, with what cores.
+        """Yield the cores of lost agents that are likely to come back.
 
-        Those that were killed are back within the time for which jobs are
-        kept where no agent is left.
+        :return: pairs of the seconds until then and the cores
         """
         for row in self._rows.values():
-            gone_s = now - row.heard_at
+            silent_for_s = now - row.heard_at
             is_lost = not row.connected and not row.leaving
             if service != row.state.service or row.cordoned or not is_lost:
                 continue
-            if row.state.accepting and gone_s < _HOPE_S:
-                yield _HOPE_S - gone_s, row.state.capacity.cpu_millis / 1000.0
+            if row.state.accepting and silent_for_s < _RECOVERY_S:
+                yield (
+                    _RECOVERY_S - silent_for_s,
+                    row.state.capacity.cpu_millis / 1000.0,
+                )
--- a/src/ferryledge/leases/_retry_budget.py
+++ b/src/ferryledge/leases/_retry_budget.py
@@ -1,47 +1,44 @@
-"""How many tasks may be tried again while others wait for their first try.
+"""Limits how many failed tasks are started again.
 
-It answers a pool in which much fails: each failed task comes again, and
-second tries would take the room of first ones just when there is least. They
-never exceed a share of the starts. One without budget waits: starts of
-others, and time, bring it.
+In a pool where many tasks fail, retries would take the room of first tries.
+They are limited by a token bucket, which first tries and time refill. A task
+without a token waits.
 """
 
-#: Second tries for each first one: a pool that fails everything is asked for
-#: a fifth more than callers asked for.
-_SHARE = 0.2
-#: Second tries that are allowed each second whatever starts: a few jobs on an
-#: idle pool need no others to start.
-_EACH_S = 10.0
-#: Second tries that may be saved up: those of one endpoint's failures.
-_MOST_SAVED = 10.0
+#: Tokens for each first try.
+_TOKENS_PER_FIRST_TRY = 0.2
+#: Tokens for each second, so that a few jobs on an idle pool can be retried.
+_TOKENS_PER_S = 10.0
+#: Most tokens in the bucket; enough for the failures of one endpoint.
+_MAX_TOKENS = 10.0
 
 
 class RetryBudget:
-    """Counts starts, and what they allow to be tried again."""
+    """A token bucket for retries; it may go below zero."""
 
     def __init__(self) -> None:
-        self._saved = _MOST_SAVED
-        self._at = 0.0
+        self._tokens = _MAX_TOKENS
+        self._refilled_at = 0.0
 
-    def note_started(self, now: float, first: int, again: int) -> None:
-        """Take in what was ordered.
+    def note_started(self, now: float, first: int, retried: int) -> None:
+        """Record an order.
 
         :param now: monotonic seconds
-        :param first: tasks that were tried for the first time
-        :param again: tasks that were tried again after they failed
+        :param first: the number of tasks started for the first time
+        :param retried: the number of tasks started again after a failure
         """
-        self._let_pass(now)
-        self._add(_SHARE * first - again)
+        self._refill(now)
+        self._add(_TOKENS_PER_FIRST_TRY * first - retried)
 
-    def left(self, now: float) -> int:
-        """Return how many tasks may be tried again now."""
-        self._let_pass(now)
-        return max(0, int(self._saved))
+    def available(self, now: float) -> int:
+        """Return how many failed tasks may be started again now."""
+        self._refill(now)
+        return max(0, int(self._tokens))
 
-    def _let_pass(self, now: float) -> None:
-        passed = max(0.0, now - self._at)
-        self._at = max(now, self._at)
-        self._add(_EACH_S * passed)
+    def _refill(self, now: float) -> None:
+        elapsed_s = max(0.0, now - self._refilled_at)
+        self._refilled_at = max(now, self._refilled_at)
+        self._add(_TOKENS_PER_S * elapsed_s)
 
     def _add(self, tokens: float) -> None:
-        self._saved = min(_MOST_SAVED, self._saved + tokens)
+        self._tokens = min(_MAX_TOKENS, self._tokens + tokens)
--- a/src/ferryledge/leases/_run_tracking.py
+++ b/src/ferryledge/leases/_run_tracking.py
@@ -1,4 +1,4 @@
-"""What becomes of the runs that an entry ordered."""
+"""Tracks the runs that an entry ordered, from the order to their end."""
 
 from collections import abc
 import dataclasses
@@ -19,33 +19,36 @@
 
 Send = abc.Callable[[str, wire.Message], None]
 
-#: Reasons for which the next try would end the same way at that endpoint.
-_COSTS_TRUST = (
+#: Reasons for which another try at the same endpoint would fail as well.
+_AVOID_REASONS = (
     wire.NotStarted.REJECTED,
     wire.NotStarted.UNHEALTHY,
 )
-#: Failure rate from which an endpoint comes last: that of one job that failed
-#: there and of none that did well since.
-_DOUBT_FROM = 0.15
+#: Failure rate from which an endpoint is suspect. A single failed job reaches
+#: it if none has succeeded there since.
+_SUSPECT_RATE = 0.15
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class Decided:
-    """A job whose answer is known."""
+    """A job with its final outcome."""
 
     job: _jobs.Job
     outcome: outcomes.JobOutcome
 
 
 class RunTracking:
-    """Binds tasks to agents and takes them back when their runs are over.
-
-    :param jobs: the jobs that are held
-    :param pool: the agents
-    :param run_times: learns from ends
-    :param judge: of the endpoints' health
-    :param notes: what is decided
-    :param link: the entry's own
+    """Orders runs at agents and handles their ends.
+
+    A task is bound to an agent while it has a run there. It waits again as
+    soon as that run is known to be over.
+
+    :param jobs: the jobs that this entry holds
+    :param pool: the agents that this entry knows
+    :param run_times: learns run times and speeds from the ends of runs
+    :param judge: judges the health of endpoints
+    :param notes: logs decisions
+    :param link: the network link of this entry
     :param send: sends a message to an agent
     """
 
@@ -67,7 +70,7 @@
         self._link = link
         self._send = send
         self._crashes = _crashes.CrashWatch()
-        #: How many tasks may be tried again.
+        #: Limits how many failed tasks are started again.
         self.retries = _retry_budget.RetryBudget()
 
     def order(
@@ -77,13 +80,17 @@
         row: _pool.AgentRow,
         tasks: tuple[_jobs.Task, ...],
     ) -> int:
-        """Order a run of each task, all of one step, at an agent.
+        """Order a run of each task at an agent.
 
-        :return: the bytes that the order takes on the link
+        :param now: monotonic seconds
+        :param job: the job
+        :param row: the agent
+        :param tasks: tasks of one step
+        :return: the size of the order on the link, in bytes
         """
         need = job.request.steps[tasks[0].step].need
-        again = sum(task.failures > 0 for task in tasks)
-        self.retries.note_started(now, len(tasks) - again, again)
+        retried = sum(task.failures > 0 for task in tasks)
+        self.retries.note_started(now, len(tasks) - retried, retried)
         for task in tasks:
             job.set_state(task, _jobs.TaskState.BOUND)
             task.run += 1
@@ -92,19 +99,19 @@
             row.runs.add((job.name, task.task_run))
         if job.offered_at is None:
             job.offered_at = now
-        # On a link of 2 Mbit/s specs of 1.2 kB are four fifths of all that an
-        # entry sends; packing saves 0.4 of them and takes 0.1 ms a job.
-        packs = row.packed_texts and self._link.is_busy(now)
+        # Specs are most of what an entry sends, so compressing them relieves
+        # a busy link.
+        is_packed = row.packed_texts and self._link.is_busy(now)
         order = wire.OrderRuns(
-            self._pool.order(row, need, len(tasks)),
+            self._pool.reserve(row, need, len(tasks)),
             job.name,
-            "" if packs else job.request.spec,
+            "" if is_packed else job.request.spec,
             need,
             tuple(task.task_run for task in tasks),
             row.state.incarnation,
             job.expected_s,
             row.ask_seen,
-            job.pack_spec() if packs else b"",
+            job.pack_spec() if is_packed else b"",
             self.less_ms(now, row),
         )
         row.granted_at = now
@@ -113,7 +120,7 @@
         slowness = self._run_times.slowness(row.name)
         self._notes.ordered(now, job, row, tasks, slowness)
         if row.slow:
-            row.tried_at = now
+            row.trial_at = now
         if not isinstance(self._judge.state(row.name), health.Healthy):
             self._judge.probe_sent(row.name)
             row.healthy = False
@@ -121,10 +128,11 @@
         return _own_link.size_of(order) + _own_link.PACKET_BYTES
 
     def less_ms(self, now: float, row: _pool.AgentRow) -> int:
-        """Return by how many ms sooner a grant to an agent has to end.
+        """Return by how many milliseconds a grant to an agent is shortened.
 
-        Runs of another entry's job must end in time after the last sign of
-        that entry, also if this one is lost meanwhile.
+        The runs of a job that another entry handed over must end in time
+        after the last sign of life of that entry, even if this entry is lost
+        meanwhile.
         """
         signed = self._jobs.signed
         if not signed:
@@ -133,7 +141,10 @@
         return math.ceil(1000.0 * max(ages, default=0.0))
 
     def stop(self, job: _jobs.Job, tasks: list[_jobs.Task]) -> None:
-        """Stop runs; each stays bound until it is known to be over."""
+        """Stop the runs of tasks.
+
+        Each task stays bound until its run is known to be over.
+        """
         by_agent: dict[str, list[wire.TaskRun]] = {}
         for task in tasks:
             if not task.stopping:
@@ -149,30 +160,30 @@
         run: wire.TaskRun,
         reason: wire.NotStarted,
     ) -> None:
-        """Take back a run that never started."""
-        taken = self._take_back(row, name, run)
-        if taken is None:
+        """Handle the release of a run that never started."""
+        unbound = self._unbind(row, name, run)
+        if unbound is None:
             return
-        job, task = taken
-        self._take_back_probe(row)
+        job, task = unbound
+        self._return_probe(row)
         self._notes.not_started(job, row, run, reason)
-        if reason in _COSTS_TRUST:
+        if reason in _AVOID_REASONS:
             task.avoid.add(row.name)
         self._jobs.drop_if_over(job)
 
     def ended(
         self, now: float, row: _pool.AgentRow, name: str, end: wire.RunEnd
     ) -> Decided | None:
-        """Take in the end of a run.
+        """Handle the end of a run.
 
-        :return: the job's answer, if this end decides it
+        :return: the outcome of the job, if this end decides it
         """
-        taken = self._take_back(row, name, end.run)
-        if taken is None:
+        unbound = self._unbind(row, name, end.run)
+        if unbound is None:
             return None
-        job, task = taken
+        job, task = unbound
         if end.how not in (wire.HowEnded.DONE, wire.HowEnded.FAILED):
-            self._take_back_probe(row)
+            self._return_probe(row)
         self._notes.ended(job, row, end, task.failures)
         decided = None
         match end.how:
@@ -184,8 +195,8 @@
                 task.failures += 1
                 task.avoid.add(row.name)
                 self._judge_end(now, row, job, False)
-                decided = self._if_hopeless(job, task, row)
-                if decided is None and not self.retries.left(now):
+                decided = self._if_out_of_attempts(job, task, row)
+                if decided is None and not self.retries.available(now):
                     self._notes.retry_waits(job, task)
             case wire.HowEnded.LOST if end.crashed_jobs:
                 task.avoid.add(row.name)
@@ -198,10 +209,13 @@
         self._jobs.drop_if_over(job)
         return decided
 
-    def _take_back(
+    def _unbind(
         self, row: _pool.AgentRow, name: str, run: wire.TaskRun
     ) -> tuple[_jobs.Job, _jobs.Task] | None:
-        """Unbind a run that is over; none if it is not known here."""
+        """Make the task of a run that is over wait again.
+
+        :return: the job and the task, or ``None`` if the run is not current
+        """
         row.runs.discard((name, run))
         job = self._jobs.find(name)
         task = job.find(run) if job else None
@@ -224,7 +238,7 @@
     ) -> None:
         self._judge_end(now, row, job, True)
         if row.state.cold:
-            return  # It will be faster than that.
+            return  # The run time of a cold endpoint says little.
         step = job.request.steps[task.step]
         self._run_times.learn(
             job.request.job_class.name, row.name, end.run_s, step.estimate_s
@@ -235,27 +249,29 @@
     ) -> None:
         name = job.request.job_class.name
         self._judge.ended(row.name, name, job.name, ok, now)
-        self._note_doubt(row)
-        self._note_health(row, job.name)
+        self._update_suspect(row)
+        self._update_health(row, job.name)
 
-    def _note_doubt(self, row: _pool.AgentRow) -> None:
-        """Let an endpoint come last while something speaks against it."""
-        rate = max(row.told_rate, self._judge.failure_rate(row.name))
-        row.doubted = rate >= _DOUBT_FROM
+    def _update_suspect(self, row: _pool.AgentRow) -> None:
+        """Update whether an endpoint is suspect."""
+        rate = max(
+            row.reported_failure_rate, self._judge.failure_rate(row.name)
+        )
+        row.doubted = rate >= _SUSPECT_RATE
 
-    def _note_health(self, row: _pool.AgentRow, name: str = "") -> None:
-        """Use an endpoint, or not, by what the judge thinks of it now."""
+    def _update_health(self, row: _pool.AgentRow, name: str = "") -> None:
+        """Update whether the judge lets an endpoint take work."""
         state = self._judge.state(row.name)
         healthy = isinstance(state, health.Healthy)
         if isinstance(state, health.Probing) and not state.sent:
-            return  # It takes its one task.
+            return  # It stays usable for its probe.
         if healthy != row.healthy:
             self._notes.judged(name, row, state)
         row.healthy = healthy
         row.on_trial = False
 
-    def _take_back_probe(self, row: _pool.AgentRow) -> None:
-        """Let an endpoint be probed again whose probe tells nothing."""
+    def _return_probe(self, row: _pool.AgentRow) -> None:
+        """Allow another probe of an endpoint whose probe had no result."""
         match self._judge.state(row.name):
             case health.Probing(sent=True):
                 self._judge.probe_lost(row.name)
@@ -265,7 +281,7 @@
                 pass
 
     def probe(self, now: float) -> None:
-        """Let endpoints take one task each whose time out is over."""
+        """Allow a probe of each endpoint whose ejection time is over."""
         for name in self._judge.probes_due(now):
             row = self._pool.find(name)
             if row is not None:
@@ -273,25 +289,27 @@
                 row.on_trial = True
 
     def hear(
-        self, now: float, row: _pool.AgentRow, told: wire.ZoneFailures
+        self, now: float, row: _pool.AgentRow, zone_failures: wire.ZoneFailures
     ) -> None:
-        """Take in what the ends of all entries say of an endpoint.
+        """Update the failures of an endpoint in runs of all entries.
 
         :param now: monotonic seconds
-        :param row: the agent beside it
-        :param told: what is known for callers of this zone
+        :param row: the endpoint's agent
+        :param zone_failures: the failures of callers in the zone of this entry
         """
-        row.told_rate = told.rate
-        self._judge.told(row.name, told.rate, told.failures, now)
-        self._note_doubt(row)
-        self._note_health(row)
+        row.reported_failure_rate = zone_failures.rate
+        self._judge.told(
+            row.name, zone_failures.rate, zone_failures.failures, now
+        )
+        self._update_suspect(row)
+        self._update_health(row)
 
     def _if_done(self, job: _jobs.Job) -> Decided | None:
-        if all(t.state is _jobs.TaskState.DONE for t in job.all_tasks):
+        if all(task.state is _jobs.TaskState.DONE for task in job.all_tasks):
             return Decided(job, outcomes.Complete(()))
         return None
 
-    def _if_hopeless(
+    def _if_out_of_attempts(
         self, job: _jobs.Job, task: _jobs.Task, row: _pool.AgentRow
     ) -> Decided | None:
         if job.closed or task.failures < job.request.job_class.attempts:
@@ -317,24 +335,30 @@
         row: _pool.AgentRow,
         runs: tuple[wire.HeldRun, ...],
     ) -> list[Decided]:
-        """Compare what an agent holds with what was ordered there.
+        """Reconcile the runs that an agent holds with those ordered there.
 
-        :return: the answers that this decides
+        Ordered runs that the agent does not hold are lost. Runs that it holds
+        and that were not ordered are stopped.
+
+        :param now: monotonic seconds
+        :param row: the agent
+        :param runs: the runs that it holds
+        :return: the jobs whose outcome this decides
         """
-        held = {(one.job, one.run) for one in runs}
+        held_runs = {(item.job, item.run) for item in runs}
         decided = []
-        for name, run in list(row.runs - held):
+        for name, run in list(row.runs - held_runs):
             end = wire.RunEnd(run, wire.HowEnded.LOST, 0.0)
             decided.append(self.ended(now, row, name, end))
-        for name, run in held - row.runs:
+        for name, run in held_runs - row.runs:
             self._send(row.name, wire.StopRuns(name, (run,)))
-        self._claim(row, held & row.runs)
-        return [one for one in decided if one is not None]
+        self._claim(row, held_runs & row.runs)
+        return [decision for decision in decided if decision is not None]
 
     def _claim(
         self, row: _pool.AgentRow, runs: set[tuple[str, wire.TaskRun]]
     ) -> None:
-        """Tell an agent which runs are still wanted, and which are not."""
+        """Confirm the runs that an agent holds, and stop unwanted ones."""
         claimed = []
         for name, run in runs:
             job = self._jobs.find(name)
@@ -348,14 +372,14 @@
             self._send(row.name, wire.ClaimRuns(tuple(claimed)))
 
     def late(self, now: float, runs: tuple[wire.LateRun, ...]) -> None:
-        """Move runs away from a slow endpoint where that helps."""
-        for late in runs:
-            job = self._jobs.find(late.job)
-            task = job.find(late.run) if job else None
+        """Restart late runs on other endpoints where that helps."""
+        for late_run in runs:
+            job = self._jobs.find(late_run.job)
+            task = job.find(late_run.run) if job else None
             if job is None or task is None:
                 continue
-            if _moving.is_worth_moving(now, job, task, late, self._pool):
+            if _moving.is_worth_moving(now, job, task, late_run, self._pool):
                 task.moves += 1
                 task.avoid.add(task.agent)
-                self._notes.moved(job, task, late)
+                self._notes.moved(job, task, late_run)
                 self.stop(job, [task])
