--- a/src/ferryledge/leases/_review.py
+++ b/src/ferryledge/leases/_review.py
@@ -1,11 +1,10 @@
-"""Which waiting jobs are to be in time, which late, and which are in vain.
-
-It answers a wave or a burst above the room. By the latest start alone all
-jobs that wait become late at about the same time. So, where one would be
-late, the job with the most work that goes before it, or itself, is put behind
-all that can be in time (Moore's rule: the fewest jobs are late), as long as
-its own answer is still of use then: long jobs can wait until a crest has
-passed.
+"""Decides which waiting jobs are late when the load exceeds the capacity.
+
+If jobs were placed by their latest start alone, all of them would become late
+at about the same time during a burst. Instead, where a job would be late, the
+largest job up to it is put back behind all jobs that can be in time, provided
+that its answer is still of use then. This follows the Moore-Hodgson algorithm,
+which minimizes the number of late jobs.
 """
 
 from collections import abc
@@ -16,18 +15,18 @@
 from ferryledge.leases import _forecast
 
 _IN_TIME = _forecast.Prospect.IN_TIME
-#: Jobs that are looked at for one that is put back.
-_MOST_LOOKS = 4
-#: Most jobs that are put back for one.
-_MOST_PUT_BACK = 4
+#: Most candidates that are considered for each job to put back.
+_MAX_CANDIDATES = 4
+#: Most jobs that are put back for one job.
+_MAX_PUT_BACK = 4
 
 
 class Waiting(msgspec.Struct, frozen=True):
-    """A job that nothing was ordered for."""
+    """A job without ordered runs."""
 
     number: int
     need: _forecast.Need
-    #: Whether it is not put back for others.
+    #: Whether it is never put back for other jobs.
     keeps_place: bool = False
 
 
@@ -38,13 +37,14 @@
     ahead: float,
     largest_late: bool = True,
 ) -> dict[int, _forecast.Forecast]:
-    """Return the forecasts of waiting jobs, by their numbers.
+    """Return the forecasts of the waiting jobs of a service, by number.
 
     :param now: monotonic seconds
-    :param forecaster: of their service
-    :param jobs: in the order of their turns
-    :param ahead: core-seconds of begun jobs, which go first
-    :param largest_late: whether another job may be late for one that would be
+    :param forecaster: the forecaster for the service
+    :param jobs: the jobs in the order of their turns
+    :param ahead: core-seconds of started jobs, which are placed first
+    :param largest_late: whether another job may be put back for a job that
+        would be late
     """
     forecasts: dict[int, _forecast.Forecast] = {}
     late: list[Waiting] = []
@@ -56,19 +56,19 @@
     late.sort(key=lambda job: job.need.last_start)
     work = queue.work
     for job in late:
-        told = forecaster.late(job.need, work)
-        forecasts[job.number] = told
-        if told.prospect is _forecast.Prospect.LATE:
+        forecast = forecaster.late(job.need, work)
+        forecasts[job.number] = forecast
+        if forecast.prospect is _forecast.Prospect.LATE:
             work += job.need.work
     return forecasts
 
 
 class _InTime:
-    """Jobs that are to be in time, with the largest one at hand.
+    """The jobs that can be in time, with a heap of the largest ones.
 
     :param now: monotonic seconds
-    :param forecaster: of their service
-    :param work: core-seconds that go before them
+    :param forecaster: the forecaster for their service
+    :param work: core-seconds of work that is placed before them
     """
 
     def __init__(
@@ -77,56 +77,57 @@
         self._now = now
         self._forecaster = forecaster
         self._largest: list[tuple[float, int, Waiting]] = []
-        #: Core-seconds of all of them and of what goes before them.
+        #: Core-seconds of these jobs and of the work before them.
         self.work = work
 
     def add(self, job: Waiting) -> None:
-        """Take in a job."""
+        """Add a job behind the others."""
         self.work += job.need.work
         if not job.keeps_place:
-            heapq.heappush(self._largest, _entry(job))
+            heapq.heappush(self._largest, _heap_entry(job))
 
     def forecast(self, job: Waiting) -> _forecast.Forecast:
         """Return the forecast of the job that was added last."""
         return self._forecaster.in_time(job.need, self.work - job.need.work)
 
     def make_room(self, job: Waiting, largest_late: bool) -> list[Waiting]:
-        """Take out the jobs that are late so that one is in time.
+        """Remove jobs until the last one is in time, and return them.
 
-        :param job: the one that was added last
-        :param largest_late: whether it may be others
-        :return: itself if others would not help
+        :param job: the job that was added last
+        :param largest_late: whether other jobs may be put back for it
+        :return: the jobs to put back; only the job itself if putting others
+            back does not help
         """
         put_back: list[Waiting] = []
-        may_be_others = largest_late and self._now <= job.need.start_by
+        may_put_back = largest_late and self._now <= job.need.start_by
         while self.forecast(job).prospect is not _IN_TIME:
-            chosen = self._next_late() if may_be_others else None
-            is_enough = len(put_back) == _MOST_PUT_BACK
-            if chosen is None or chosen is job or is_enough:
+            candidate = self._find_to_put_back() if may_put_back else None
+            is_limit_reached = len(put_back) == _MAX_PUT_BACK
+            if candidate is None or candidate is job or is_limit_reached:
                 for other in put_back:
                     self.add(other)
-                self._take_out(job)
+                self._remove(job)
                 return [job]
-            self._take_out(chosen)
-            put_back.append(chosen)
+            self._remove(candidate)
+            put_back.append(candidate)
         return put_back
 
-    def _take_out(self, job: Waiting) -> None:
+    def _remove(self, job: Waiting) -> None:
         if not job.keeps_place:
-            self._largest.remove(_entry(job))
+            self._largest.remove(_heap_entry(job))
             heapq.heapify(self._largest)
         self.work -= job.need.work
 
-    def _next_late(self) -> Waiting | None:
-        """Return the largest job whose answer is of use if it is late."""
+    def _find_to_put_back(self) -> Waiting | None:
+        """Return the largest job whose late answer would still be of use."""
         late = _forecast.Prospect.LATE
-        for _, _, job in heapq.nsmallest(_MOST_LOOKS, self._largest):
-            told = self._forecaster.late(job.need, self.work)
-            if told.prospect is late:
+        for _, _, job in heapq.nsmallest(_MAX_CANDIDATES, self._largest):
+            forecast = self._forecaster.late(job.need, self.work)
+            if forecast.prospect is late:
                 return job
         return None
 
 
-def _entry(job: Waiting) -> tuple[float, int, Waiting]:
-    """Return what sorts jobs by their work, the largest first."""
+def _heap_entry(job: Waiting) -> tuple[float, int, Waiting]:
+    """Return a heap entry that sorts jobs by work, the largest first."""
     return (-job.need.work, job.number, job)
--- a/src/ferryledge/leases/_scheduling.py
+++ b/src/ferryledge/leases/_scheduling.py
@@ -1,4 +1,4 @@
-"""Which waiting jobs get room and when, and which are refused."""
+"""Schedules waiting jobs: which are ordered next, and which are refused."""
 
 from collections import abc
 import functools
@@ -27,17 +27,17 @@
 
 
 class Scheduling:
-    """Orders runs of waiting jobs, as far as pool and own link have room.
+    """Orders runs of waiting jobs as the pool and the link have room.
 
-    :param name: this entry
-    :param jobs: the jobs that are held
-    :param pool: the agents
+    :param name: the name of this entry
+    :param jobs: the jobs that this entry holds
+    :param pool: the agents that this entry knows
     :param runs: orders runs
     :param placing: chooses endpoints
-    :param link: this entry's own
-    :param rng: spreads the delays that refused clients are told
+    :param link: the network link of this entry
+    :param rng: spreads the retry delays of refused clients
     :param turns: the order of waiting jobs
-    :param notes: what is decided
+    :param notes: logs decisions
     """
 
     def __init__(
@@ -62,9 +62,9 @@
         self._share = _share.Share(link)
         self._arrivals = _arrivals.Arrivals()
         self._wanting = _wanting.Wanting(link)
-        #: When agents are to hear how urgent the waiting jobs are.
-        self._wanted_at = _NEVER
-        #: When the own link has room for waiting orders.
+        #: When to report to agents how urgent the waiting jobs are.
+        self._report_at = _NEVER
+        #: When the link is free for orders that wait for it.
         self._place_at = _NEVER
         self.admission = _admission.Admission(
             name, pool, self._share, link, rng, turns.rules
@@ -72,11 +72,11 @@
 
     @property
     def due_at(self) -> float:
-        """When to place or to tell agents at the latest."""
-        return min(self._wanted_at, self._place_at)
+        """When the next placement or report to agents is due."""
+        return min(self._report_at, self._place_at)
 
     def note_arrival(self, now: float, job: _jobs.Job) -> None:
-        """Take in that a job was admitted."""
+        """Record the arrival of an admitted job."""
         job_class = job.request.job_class
         job.keeps_place = self.admission.returns.come(now, job.name)
         slack_s = job.start_by - now
@@ -87,11 +87,12 @@
     def forecast(
         self, now: float, job: _jobs.Job
     ) -> _forecast.Forecast | None:
-        """Return what is expected of a job, whether it is held or offered.
+        """Return the forecast of a job that is held here or offered.
 
         :param now: monotonic seconds
         :param job: the job
-        :return: none while agents are likely to come back soon
+        :return: the forecast, or ``None`` while lost agents are likely to come
+            back soon
         """
         if self._pool.may_recover(now):
             return None
@@ -99,26 +100,26 @@
         gap_s = self._share.gap_s
         key = self._turns.key(now, job, gap_s)
         ahead = sum(
-            one.waiting_work()
-            for one in self._jobs.waiting
-            if one is not job
-            and one.request.job_class.service == service
-            and self._turns.key(now, one, gap_s) < key
+            other.waiting_work()
+            for other in self._jobs.waiting
+            if other is not job
+            and other.request.job_class.service == service
+            and self._turns.key(now, other, gap_s) < key
         )
         return self._forecaster(now, service).in_time(job.need, ahead)
 
     def review(self, now: float) -> Refusals:
-        """Yield jobs that wait in vain, in the order of their turns.
+        """Yield the waiting jobs to refuse, with the refusals.
 
-        Each is to be answered before the next is asked for.
+        The caller answers each job before it takes the next one.
 
         :param now: monotonic seconds
         """
         untried = self._turns.sort(now, self._jobs.untried, self._share.gap_s)
-        ahead = self._begun_work()
+        ahead = self._started_work()
         pool_cores = self._pool.capacity_cores(now)
         self._share.update(now, pool_cores, self._pool.sharers(now))
-        patient = [job for job in untried if self._may_be_late(job)]
+        deferrable = [job for job in untried if self._may_be_late(job)]
         for job in untried:
             if self._may_be_late(job):
                 continue
@@ -129,30 +130,32 @@
                 ahead[service] = work + job.work
             else:
                 yield job, refusal
-        for service in {job.request.job_class.service for job in patient}:
-            yield from self._review_patient(
-                now, service, patient, ahead.get(service, 0.0)
+        for service in {job.request.job_class.service for job in deferrable}:
+            yield from self._review_deferrable(
+                now, service, deferrable, ahead.get(service, 0.0)
             )
 
     def _may_be_late(self, job: _jobs.Job) -> bool:
         return self._turns.rules.late_answers and job.may_be_late
 
-    def _review_patient(
+    def _review_deferrable(
         self,
         now: float,
         service: str,
-        patient: list[_jobs.Job],
+        deferrable: list[_jobs.Job],
         ahead: float,
     ) -> Refusals:
-        """Yield the jobs of a service whose answer would be of no use.
+        """Yield the jobs of a service whose answer would come too late.
 
         :param now: monotonic seconds
         :param service: the service
-        :param patient: jobs that may be late, of all services
-        :param ahead: core-seconds that go before them
+        :param deferrable: jobs of all services that are of use when late
+        :param ahead: core-seconds of work that is placed before them
         """
         jobs = [
-            job for job in patient if job.request.job_class.service == service
+            job
+            for job in deferrable
+            if job.request.job_class.service == service
         ]
         jobs.sort(key=lambda job: self._turns.turn_at(job, self._share.gap_s))
         forecaster = self._forecaster(now, service)
@@ -166,62 +169,65 @@
             ahead,
             self._turns.rules.largest_late,
         )
-        in_vain: list[_jobs.Job] = []
+        too_late: list[_jobs.Job] = []
         for number, job in enumerate(jobs):
-            self._take_in(now, job, forecasts[number])
+            self._store_forecast(now, job, forecasts[number])
             if forecasts[number].prospect is _forecast.Prospect.IN_VAIN:
-                in_vain.append(job)
+                too_late.append(job)
             else:
                 ahead += job.work
-        for job in in_vain:
+        for job in too_late:
             refusal = self.admission.judge(
                 now, job, functools.partial(forecaster.room_in, ahead)
             )
             if refusal is not None:
                 yield job, refusal
 
-    def _take_in(
-        self, now: float, job: _jobs.Job, told: _forecast.Forecast
+    def _store_forecast(
+        self, now: float, job: _jobs.Job, forecast: _forecast.Forecast
     ) -> None:
-        """Keep what is forecast of a job, and count it where it goes."""
-        was = job.is_put_back
-        job.forecast = told
-        moved = was - job.is_put_back
-        if moved:
-            self._arrivals.move(now, job.request.job_class.name, moved)
-        if not was and told.prospect is _forecast.Prospect.LATE:
-            self._notes.put_back(now, job, told)
+        """Store the forecast of a job and count it as in time or as late."""
+        was_put_back = job.is_put_back
+        job.forecast = forecast
+        direction = was_put_back - job.is_put_back
+        if direction:
+            self._arrivals.move(now, job.request.job_class.name, direction)
+        if not was_put_back and forecast.prospect is _forecast.Prospect.LATE:
+            self._notes.put_back(now, job, forecast)
 
     def _forecaster(self, now: float, service: str) -> _forecast.Forecaster:
-        """Return what tells the prospects of a service's jobs."""
+        """Return the forecaster for the jobs of a service."""
         inflow = self._arrivals.inflow(now, service)
         return _forecast.Forecaster(now, self._room(now, service), inflow)
 
     def _room(self, now: float, service: str) -> _forecast.Room:
-        """Return the room that this entry's work can count on."""
+        """Return the cores that this entry is expected to get."""
         link_s = self._link.wait_s(now)
         pool_cores = self._pool.capacity_cores(now, service)
         if not pool_cores:
             return _forecast.Room(0.0, link_s=link_s)
         sharers = self._pool.sharers(now, service)
         cores = self._share.cores(now, pool_cores, sharers)
-        # What comes or goes is shared as the rest of the pool is.
-        part = cores / pool_cores
+        # Cores that come or go are shared like the rest of the pool.
+        share = cores / pool_cores
         change = _forecast.RoomChange
-        goes = self._pool.leaving_cores(now, service)
-        comes = self._pool.returning_cores(now, service)
+        leaving = self._pool.leaving_cores(now, service)
+        returning = self._pool.returning_cores(now, service)
         return _forecast.Room(
             cores,
             self._pool.free_cores(now, service),
             (
-                *(change(in_s, -part * gone) for in_s, gone in goes),
-                *(change(in_s, part * back) for in_s, back in comes),
+                *(change(in_s, -share * lost) for in_s, lost in leaving),
+                *(
+                    change(in_s, share * regained)
+                    for in_s, regained in returning
+                ),
             ),
             link_s,
         )
 
-    def _begun_work(self) -> dict[str, float]:
-        """Return the core-seconds that begun jobs wait for, by service."""
+    def _started_work(self) -> dict[str, float]:
+        """Return the waiting core-seconds of started jobs, by service."""
         work: dict[str, float] = {}
         for job in self._jobs.waiting:
             if job.has_begun:
@@ -230,47 +236,48 @@
         return work
 
     def is_link_free(self, now: float) -> bool:
-        """Return whether orders waited for the link, which is free now."""
+        """Return whether orders waited for the link and it is free now."""
         return now >= self._place_at
 
     def place(self, now: float) -> None:
-        """Order what has room."""
+        """Order runs of waiting jobs where there is room."""
         waiting = self._jobs.waiting
         self._order_all(now, waiting)
         left = [job for job in waiting if job.waiting]
         self._place_at = _NEVER
         if left and not self._link.is_free(now):
-            # They wait for the link, not for room: agents need no word.
+            # The jobs wait for the link, not for room: no report is needed.
             self._place_at = self._link.free_at(now)
             return
         if self._turns.rules.urgency_reports:
             turn_at = self._turns.first(now, left, self._share.gap_s)
-            self._wanted_at = self._wanting.due_at(turn_at)
+            self._report_at = self._wanting.due_at(turn_at)
 
     def _order_all(self, now: float, waiting: list[_jobs.Job]) -> None:
-        """Order what has room, as far as the own link carries it.
+        """Order runs where there is room, until the link is busy.
 
-        What waits there for longer than a grant lasts is turned down and
-        repeated: without the bound 30 of 676 jobs were complete in a
-        simulation of 1.4 times what the link carries.
+        An order that waits at the link for longer than a grant lasts would be
+        turned down, and would have to be repeated.
         """
         if not self._link.is_free(now):
             return
         gap_s = self._share.gap_s
-        for placed in self._placing.place(now, waiting, gap_s):
-            size = self._runs.order(now, placed.job, placed.row, placed.tasks)
-            count = len(placed.tasks)
-            self._share.note_started(now, placed.work, count, size)
+        for placement in self._placing.place(now, waiting, gap_s):
+            size = self._runs.order(
+                now, placement.job, placement.row, placement.tasks
+            )
+            count = len(placement.tasks)
+            self._share.note_started(now, placement.work, count, size)
             if not self._link.is_free(now):
                 return
 
     def tell_wanted(
         self, now: float
     ) -> abc.Iterator[tuple[_pool.AgentRow, wire.RoomWanted]]:
-        """Yield agents to tell how urgent the waiting jobs are, and how."""
-        if now < self._wanted_at:
+        """Yield the due reports to agents on how urgent waiting jobs are."""
+        if now < self._report_at:
             return
-        self._wanted_at = _NEVER
+        self._report_at = _NEVER
         waiting = self._jobs.waiting
         turn_at = self._turns.first(now, waiting, self._share.gap_s)
-        yield from self._wanting.tell(now, turn_at, self._pool)
+        yield from self._wanting.make_reports(now, turn_at, self._pool)
--- a/src/ferryledge/leases/_share.py
+++ b/src/ferryledge/leases/_share.py
@@ -1,27 +1,26 @@
-"""How much of the pool's room this entry gets."""
+"""Estimates this entry's share of the cores of the pool."""
 
 import math
 
 from ferryledge.leases import _own_link
 
-#: Seconds over which the work that was started is averaged: a few hundred
-#: starts at the users' load, and shorter than a burst.
+#: Time constant in seconds of the averages over started work; shorter than a
+#: burst of load.
 _SPAN_S = _own_link.SPAN_S
-#: Weight of the newest order in what orders usually take and bring.
-_DECAY = 0.05
-#: Share of the link that orders are taken to get whatever else is sent.
-_LEAST_LINK_SHARE = 0.2
+#: Weight of the newest order in the averages over orders.
+_NEWEST_WEIGHT = 0.05
+#: Least share of the link that is assumed to be left for orders.
+_MIN_LINK_SHARE = 0.2
 
 
 class Share:
-    """The cores that work of this entry gets while jobs wait.
+    """The cores that this entry's work gets while jobs wait.
 
-    The entries share the pool without a central count. What an entry got
-    lately shows its share, if it had work for it; else all get the same.
-    Where its orders need more of its own link than that carries, the link is
-    the bound.
+    The entries share the pool without a coordinator. Each entry expects at
+    least an equal share, or more if it recently started more work than that.
+    The share is limited by the orders that the entry's network link carries.
 
-    :param link: the entry's own
+    :param link: the network link of this entry
     """
 
     def __init__(self, link: _own_link.OwnLink | None = None) -> None:
@@ -30,57 +29,67 @@
         self._tasks = 0.0
         self._bytes = 0.0
         self._started_at = 0.0
-        #: Bytes and work of an order, on average.
+        #: Average size of an order in bytes, and its work in core-seconds.
         self._order_bytes = 0.0
         self._order_work = 0.0
-        #: Seconds between two starts of waiting tasks, at this share.
+        #: Expected seconds between two starts of waiting tasks.
         self.gap_s = 0.0
 
     def note_started(
         self, now: float, work: float, tasks: int, size: int = 0
     ) -> None:
-        """Take in that work was ordered.
+        """Record an order.
 
         :param now: monotonic seconds
-        :param work: core-seconds that it is expected to take
-        :param tasks: how many
-        :param size: bytes of the order on the link
+        :param work: the expected work in core-seconds
+        :param tasks: the number of tasks
+        :param size: the size of the order on the link, in bytes
         """
         decay = self._decay(now)
         self._started = self._started * decay + work
         self._tasks = self._tasks * decay + tasks
         self._bytes = self._bytes * decay + size
-        self._order_bytes += _DECAY * (size - self._order_bytes)
-        self._order_work += _DECAY * (work - self._order_work)
+        self._order_bytes += _NEWEST_WEIGHT * (size - self._order_bytes)
+        self._order_work += _NEWEST_WEIGHT * (work - self._order_work)
         self._started_at = now
 
     def cores(self, now: float, pool_cores: float, entries: float) -> float:
-        """Return the cores that this entry's waiting work can count on.
+        """Return the cores that this entry is expected to get.
 
         :param now: monotonic seconds
-        :param pool_cores: of all endpoints that can be used
-        :param entries: how many entries share these, with this one
+        :param pool_cores: the cores of all usable endpoints
+        :param entries: the number of entries that share them, with this one
         """
-        lately = self._started * self._decay(now) / _SPAN_S
-        share = max(lately, pool_cores / entries)
+        recent_cores = self._started * self._decay(now) / _SPAN_S
+        share = max(recent_cores, pool_cores / entries)
         return min(pool_cores, share, self._link_cores(now))
 
     def _link_cores(self, now: float) -> float:
-        """Return the cores that orders over the own link can keep at work.
+        """Return the cores that orders over the link can keep busy.
 
-        By what orders usually take of it, not by the last ones alone: an
-        entry that was idle would take a wide link for the bound.
+        The averages over orders do not decay while the entry is idle, so that
+        an idle link does not look like the bottleneck.
         """
         if self._order_bytes <= 0.0:
             return math.inf
-        orders = self._bytes * self._decay(now)
-        others = (self._link.sent_lately(now) - orders) / _SPAN_S
-        rate = self._link.bytes_per_s
-        left = max(_LEAST_LINK_SHARE * rate, rate - max(0.0, others))
-        return left * self._order_work / self._order_bytes
+        order_bytes = self._bytes * self._decay(now)
+        other_bytes_per_s = (
+            self._link.sent_lately(now) - order_bytes
+        ) / _SPAN_S
+        link_bytes_per_s = self._link.bytes_per_s
+        left_bytes_per_s = max(
+            _MIN_LINK_SHARE * link_bytes_per_s,
+            link_bytes_per_s - max(0.0, other_bytes_per_s),
+        )
+        return left_bytes_per_s * self._order_work / self._order_bytes
 
     def update(self, now: float, pool_cores: float, entries: float) -> None:
-        """Work out the gap between starts anew."""
+        """Update the expected interval between starts.
+
+        :param now: monotonic seconds
+        :param pool_cores: the cores of all usable endpoints
+        :param entries: the number of entries that share them, with this one
+        """
         cores = self.cores(now, pool_cores, entries)
         if cores > 0.0 and self._tasks > 0.0:
             self.gap_s = self._started / self._tasks / cores
