--- a/src/ferryledge/leases/_answer_times.py
+++ b/src/ferryledge/leases/_answer_times.py
@@ -1,33 +1,35 @@
-"""How long a peer usually takes to answer."""
+"""Learns from past answers when an answer counts as missing.
+
+The limit is the mean answer time plus a multiple of the mean deviation, as in
+the retransmission timeout of TCP.
+"""
 
 #: Weight of the newest answer in the averages.
-_DECAY = 0.05
-#: An answer later than so many mean deviations above the mean is missing.
+_NEWEST_WEIGHT = 0.05
+#: Mean deviations above the mean after which an answer counts as missing.
 _DEVIATIONS = 6.0
-#: What deviations are taken to be at first, as a share of the longest time:
-#: some twenty answers pass before less than the longest is waited. A caller
-#: that trusted the first ones took 5 of 851 orders on a busy machine for
-#: unanswered; each was stopped and ordered again.
-_CAUTIOUS_SHARE = 0.5
-#: Shortest time that is waited, in seconds: an agent that starts thirty
-#: runs at once is itself busy for about ten milliseconds.
+#: Initial mean deviation as a share of the longest limit. The limit then falls
+#: below the longest one only after some twenty answers.
+_INITIAL_SHARE = 0.5
+#: Shortest limit in seconds; an agent that starts many runs at once may itself
+#: be busy for a part of it.
 _SHORTEST_S = 0.02
 
 
 class AnswerTimes:
-    """Learns when an answer counts as missing.
+    """An adaptive limit for the time to an answer.
 
-    :param longest_s: what is waited at the most
-    :param shortest_s: what is waited at the least
-    :param first_share: what deviations are taken to be at first, as a share
-        of the longest time; small where a false alarm is cheap
+    :param longest_s: the longest limit in seconds
+    :param shortest_s: the shortest limit in seconds
+    :param first_share: the initial mean deviation as a share of the longest
+        limit; may be small where a false alarm is cheap
     """
 
     def __init__(
         self,
         longest_s: float,
         shortest_s: float = _SHORTEST_S,
-        first_share: float = _CAUTIOUS_SHARE,
+        first_share: float = _INITIAL_SHARE,
     ) -> None:
         self._longest_s = longest_s
         self._shortest_s = shortest_s
@@ -35,15 +37,17 @@
         self._deviation_s = first_share * longest_s
 
     def note(self, took_s: float) -> None:
-        """Take in an answer.
+        """Record the time of an answer.
 
         :param took_s: seconds from the call to its answer
         """
         if self._mean_s is None:
             self._mean_s = took_s
-        off_s = took_s - self._mean_s
-        self._mean_s += _DECAY * off_s
-        self._deviation_s += _DECAY * (abs(off_s) - self._deviation_s)
+        deviation_s = took_s - self._mean_s
+        self._mean_s += _NEWEST_WEIGHT * deviation_s
+        self._deviation_s += _NEWEST_WEIGHT * (
+            abs(deviation_s) - self._deviation_s
+        )
 
     @property
     def limit_s(self) -> float:
--- a/src/ferryledge/leases/_evidence.py
+++ b/src/ferryledge/leases/_evidence.py
@@ -1,12 +1,10 @@
-"""What the ends of all entries' runs say of one endpoint.
-
-It answers endpoints that fail what they start, for all callers or for those
-of one availability zone, and endpoints that go down and come back by turns.
-Entries would each find out by jobs of their own; the agent sees the ends of
-all, keeps what they say by the zone of the entry that ordered the run, and
-tells it with the endpoint's state. What it keeps is soft and expires: an
-agent that starts anew knows nothing, and an endpoint without ends is told as
-one of which nothing is known.
+"""Failure rates and outages of an endpoint, as its agent observes them.
+
+An endpoint may fail the runs of all callers or only of those in one
+availability zone, and it may go down and come back repeatedly. The agent sees
+the ends of the runs of all entries. It reports what it observes with the state
+of the endpoint, so that entries need not find out by losing runs of their own.
+The observations are kept in memory only, and expire.
 """
 
 from collections import abc
@@ -17,104 +15,108 @@
 from ferryledge import health
 from ferryledge import wire
 
-#: Failure rate from which a zone is told of it, and below which it is told
-#: no more: in between the last word stands, so that it doesn't waver.
-_TELL_FROM = 0.3
-_TELL_UNTIL = 0.15
-#: Seconds without an end after which a zone's evidence is no longer true.
+#: Failure rates from which reports for a zone begin and below which they end;
+#: the gap between them (hysteresis) keeps reports from flapping.
+_REPORT_FROM = 0.3
+_REPORT_UNTIL = 0.15
+#: Seconds after the last end of a run after which a zone's rate expires.
 _EXPIRES_S = 10.0
-#: Seconds between two counts that are told: a beat of the streams.
-_TELL_EVERY_S = 0.2
-#: Seconds for which an outage is remembered. Endpoints that are restarted as
-#: planned go down less often than twice in it.
+#: Least seconds between two reports that differ only in their numbers.
+_REPORT_INTERVAL_S = 0.2
+#: Seconds for which an outage is remembered; planned restarts of an endpoint
+#: are further apart.
 _OUTAGE_KEPT_S = 20.0
-#: Seconds that an outage takes at the least, unless the endpoint started anew:
-#: a connection that breaks alone is replaced within less.
-_SHORTEST_S = 0.1
-#: Seconds that an endpoint must hold after its second outage to be used
-#: fully; they double with each further one.
+#: Shortest outage in seconds, unless the endpoint was restarted. A broken
+#: connection is replaced faster than that.
+_MIN_OUTAGE_S = 0.1
+#: Seconds without an outage after which an endpoint is used fully again after
+#: its second outage; they double with each further outage.
 _FIRST_HOLD_S = 0.5
-_LONGEST_HOLD_S = 4.0
-#: Steps in which more of an endpoint that came back is used.
+_MAX_HOLD_S = 4.0
+#: Steps in which the usable share of an endpoint rises after an outage.
 _STEPS = 4
 _NEVER = float("inf")
 
 
 class _ZoneRow(msgspec.Struct):
-    seen: health.FailureRate = msgspec.field(
+    """The failure rate for the callers of one zone."""
+
+    failure_rate: health.FailureRate = msgspec.field(
         default_factory=health.FailureRate
     )
     ended_at: float = 0.0
-    is_told: bool = False
+    is_reported: bool = False
 
 
 class Evidence:
-    """Keeps what ends say, by zones of callers."""
+    """The failure rates of an endpoint by the availability zone of callers."""
 
     def __init__(self) -> None:
         self._zones: dict[str, _ZoneRow] = {}
-        #: Failures of earlier starts: what is told counts on.
+        #: Failures before the last reset; the reported count includes them.
         self._failures_before = 0
-        self._told: tuple[wire.ZoneFailures, ...] = ()
-        self._told_at = float("-inf")
+        self._reported: tuple[wire.ZoneFailures, ...] = ()
+        self._reported_at = float("-inf")
 
     def note_end(self, now: float, zone: str, job: str, ok: bool) -> None:
-        """Take in the end of a run, or that it could not be started.
+        """Record the end of a run, or that it could not be started.
 
         :param now: monotonic seconds
-        :param zone: that of the entry that ordered it
-        :param job: its job
-        :param ok: whether the endpoint did what it was asked
+        :param zone: the zone of the entry that ordered the run
+        :param job: the name of its job
+        :param ok: whether the run succeeded
         """
         row = self._zones.setdefault(zone, _ZoneRow())
-        row.seen.add(job, 1.0, ok, health.DECAY)
+        row.failure_rate.add(job, 1.0, ok, health.DECAY)
         row.ended_at = now
-        if row.seen.rate >= _TELL_FROM:
-            row.is_told = True
-        elif row.seen.rate < _TELL_UNTIL:
-            row.is_told = False
+        if row.failure_rate.rate >= _REPORT_FROM:
+            row.is_reported = True
+        elif row.failure_rate.rate < _REPORT_UNTIL:
+            row.is_reported = False
 
     def forget(self) -> None:
-        """Begin anew: the endpoint was started again."""
+        """Reset all rates, after a restart of the endpoint."""
         self._failures_before += sum(
-            row.seen.failures for row in self._zones.values()
+            row.failure_rate.failures for row in self._zones.values()
         )
         self._zones.clear()
 
     def told(self, now: float) -> tuple[wire.ZoneFailures, ...]:
-        """Return what entries are to be told.
+        """Return the failures to report to entries.
 
-        The same object stays as long as it does not change.
+        The same object is returned as long as the report does not change.
         """
         for zone in [
             zone
             for zone, row in self._zones.items()
             if now - row.ended_at > _EXPIRES_S
         ]:
-            self._failures_before += self._zones.pop(zone).seen.failures
+            self._failures_before += self._zones.pop(
+                zone
+            ).failure_rate.failures
         failing = tuple(self._failing())
-        same = [one.zone for one in failing] == [
-            one.zone for one in self._told
+        is_same = [failures.zone for failures in failing] == [
+            failures.zone for failures in self._reported
         ]
-        if same and now - self._told_at < _TELL_EVERY_S:
-            return self._told
-        if failing != self._told:
-            self._told = failing
-            self._told_at = now
-        return self._told
+        if is_same and now - self._reported_at < _REPORT_INTERVAL_S:
+            return self._reported
+        if failing != self._reported:
+            self._reported = failing
+            self._reported_at = now
+        return self._reported
 
     def _failing(self) -> abc.Iterator[wire.ZoneFailures]:
         rows = sorted(self._zones.items())
         for zone, row in rows:
-            if row.is_told:
-                yield self._describe(zone, [row])
-        if len(rows) > 1 and all(row.is_told for _, row in rows):
-            yield self._describe("", [row for _, row in rows])
-
-    def _describe(self, zone: str, rows: list[_ZoneRow]) -> wire.ZoneFailures:
-        rate = min(row.seen.rate for row in rows)
-        failures = sum(row.seen.failures for row in rows)
-        # In whole tenths: each change is a message to every entry.
+            if row.is_reported:
+                yield self._summarize(zone, [row])
+        if len(rows) > 1 and all(row.is_reported for _, row in rows):
+            yield self._summarize("", [row for _, row in rows])
+
+    def _summarize(self, zone: str, rows: list[_ZoneRow]) -> wire.ZoneFailures:
+        rate = min(row.failure_rate.rate for row in rows)
+        failures = sum(row.failure_rate.failures for row in rows)
+        # Rounded, since each change is sent to every entry.
         return wire.ZoneFailures(
             zone, round(rate, 1), self._failures_before + failures
         )
@@ -123,47 +125,51 @@
 def of_zone(
     told: abc.Iterable[wire.ZoneFailures], zone: str
 ) -> wire.ZoneFailures:
-    """Return what is known against an endpoint for callers of a zone.
+    """Return the failures of an endpoint for the callers of a zone.
+
+    Failures for callers of other zones do not count, unless the endpoint fails
+    the callers of all known zones, and there are several.
 
-    Failures for other zones' callers alone say nothing; those for all zones
-    that are known, of which there are several, do.
+    :param told: the failures that its agent reports
+    :param zone: the zone of the callers
     """
-    by_zone = {one.zone: one for one in told}
-    nothing = wire.ZoneFailures(zone, 0.0, 0)
-    return by_zone.get(zone) or by_zone.get("") or nothing
+    by_zone = {failures.zone: failures for failures in told}
+    no_failures = wire.ZoneFailures(zone, 0.0, 0)
+    return by_zone.get(zone) or by_zone.get("") or no_failures
 
 
 class Outages:
-    """How far an endpoint is to be used that went down again and again."""
+    """The recent outages of an endpoint, and how much of it may be used."""
 
     def __init__(self) -> None:
         self._back_at: list[float] = []
-        #: When it went down, unannounced; none while it is up.
+        #: When it went down without notice; none while it is up.
         self._down_at: float | None = None
-        self._started_anew = False
+        self._restarted = False
 
     def note_down(self, now: float, started_anew: bool = False) -> None:
-        """Take in that it does not answer, unannounced.
+        """Record that the endpoint stopped answering without notice.
 
         :param now: monotonic seconds
-        :param started_anew: whether another start of it is known
+        :param started_anew: whether it is known to have been restarted
         """
         if self._down_at is None:
             self._down_at = now
-        self._started_anew |= started_anew
+        self._restarted |= started_anew
 
     def note_back(self, now: float) -> float | None:
-        """Take in that it answers.
+        """Record that the endpoint answers.
 
-        :return: seconds for which it was away, if that was an outage
+        :return: the length of the outage in seconds, or ``None`` if it was up
+            or the interruption was too short
         """
         if self._down_at is None:
             return None
         away_s = now - self._down_at
-        counts = self._started_anew or away_s >= _SHORTEST_S
+        is_outage = self._restarted or away_s >= _MIN_OUTAGE_S
         self._down_at = None
-        self._started_anew = False
-        if not counts:
+        self._restarted = False
+        if not is_outage:
             return None
         oldest = now - _OUTAGE_KEPT_S
         self._back_at = [at for at in self._back_at if at > oldest]
@@ -172,24 +178,24 @@
 
     @property
     def _hold_s(self) -> float:
-        again = len(self._back_at) - 2
-        if again < 0:
+        repeated = len(self._back_at) - 2
+        if repeated < 0:
             return 0.0
-        return min(_LONGEST_HOLD_S, _FIRST_HOLD_S * 2.0**again)
+        return min(_MAX_HOLD_S, _FIRST_HOLD_S * 2.0**repeated)
 
     def steady(self, now: float) -> float:
-        """Return the share of its room that is to be used, in steps.
+        """Return the share of the endpoint's capacity that may be used.
 
-        It rises with the time for which it holds, and is 1 after a first
-        outage: many endpoints come back from a loss of power.
+        It rises in steps with the time since the last outage. After a single
+        outage it is 1, since many endpoints may come back from a power loss.
         """
         if not self._hold_s:
             return 1.0
-        held = (now - self._back_at[-1]) / self._hold_s
-        return min(1.0, math.floor(held * _STEPS) / _STEPS)
+        held_share = (now - self._back_at[-1]) / self._hold_s
+        return min(1.0, math.floor(held_share * _STEPS) / _STEPS)
 
     def due_at(self, now: float) -> float:
-        """Return when the next step is due, in monotonic seconds."""
+        """Return when the usable share rises next, in monotonic seconds."""
         steady = self.steady(now)
         if steady >= 1.0:
             return _NEVER
--- a/src/ferryledge/leases/_runs.py
+++ b/src/ferryledge/leases/_runs.py
@@ -1,8 +1,8 @@
 """The runs that an agent's endpoint holds, or may hold.
 
-A run takes room from the moment it is ordered until its end is proved: the
-endpoint lists the end, or lists what runs without it after a stop or the
-lease's end made sure that it can't start any more.
+A run takes room from its order until its end is certain: either the endpoint
+lists the end, or it lists its runs without this one after a stop or the end of
+the lease ensured that it can no longer start.
 """
 
 from collections import abc
@@ -15,20 +15,20 @@
 
 
 class RunState(enum.Enum):
-    """How far a run is."""
+    """The state of a run at an agent."""
 
-    #: The order is on its way.
+    #: The order was sent to the endpoint.
     ORDERED = "ordered"
-    #: The endpoint said that it runs.
+    #: The endpoint confirmed the start.
     RUNNING = "running"
-    #: The order went without an answer.
+    #: The order was not answered.
     UNSURE = "unsure"
     #: It is to be stopped.
     STOPPING = "stopping"
 
 
 class RunKey(msgspec.Struct, frozen=True):
-    """Names a run at an endpoint."""
+    """Identifies a run at an endpoint."""
 
     job: str
     step: int
@@ -47,39 +47,40 @@
 
 
 class RunRow(msgspec.Struct):
-    """One run."""
+    """A run and what its agent knows of it."""
 
     key: RunKey
-    #: Incarnation of the entry that ordered it; empty is unknown.
+    #: Incarnation of the entry that ordered it; empty if unknown.
     owner: str
     need: wire.Resources
     state: RunState
-    #: Monotonic seconds of the order, or of when it was found.
+    #: When it was ordered or first listed, in monotonic seconds.
     ordered_at: float
-    #: The endpoint's clock in ms after which the order can't start it.
+    #: Time on the endpoint's clock in ms after which the order can't start it.
     expires_ms: int = 0
     #: When the endpoint confirmed the start, in monotonic seconds.
     confirmed_at: float | None = None
-    #: When the last stop was sent and when one was confirmed.
+    #: When the last stop was sent, in monotonic seconds.
     stop_sent_at: float | None = None
+    #: When a stop was confirmed, in monotonic seconds.
     stop_confirmed_at: float | None = None
-    #: How often a stop was ordered.
+    #: The number of stops that were sent.
     stops_sent: int = 0
-    #: Why it is stopped, if it turns out that it never started.
+    #: The reason to report for its release if it never started.
     release: wire.NotStarted | None = None
-    #: Whether the endpoint listed it, since it started.
+    #: Whether the endpoint has listed it since its start.
     listed: bool = False
-    #: Its progress; none if its expected time is unknown.
+    #: Its progress; none if its expected run time is unknown.
     pace: _speed.RunPace | None = None
 
     @property
     def may_run(self) -> bool:
-        """Whether the endpoint is known to have had it."""
+        """Whether the endpoint confirmed its start."""
         return self.confirmed_at is not None
 
 
 class RunTable:
-    """All runs of one endpoint, and the room that they take."""
+    """The runs of an endpoint and the resources that they take."""
 
     def __init__(self) -> None:
         self._rows: dict[RunKey, RunRow] = {}
@@ -94,28 +95,28 @@
 
     @property
     def held(self) -> wire.Resources:
-        """What all runs take together."""
+        """The resources of all runs together."""
         return self._held
 
     def find(self, key: RunKey) -> RunRow | None:
-        """Return a run, or none."""
+        """Return the run of this key, or ``None``."""
         return self._rows.get(key)
 
     def has_task(self, key: RunKey) -> bool:
-        """Return whether any run of the key's task is here."""
+        """Return whether there is any run of the task of a key."""
         task = (key.job, key.step, key.index)
         return any(
             (row.job, row.step, row.index) == task for row in self._rows
         )
 
     def add(self, row: RunRow) -> None:
-        """Add a run; it takes its room from now on."""
+        """Add a run and take its resources."""
         self._rows[row.key] = row
         self._by_owner.setdefault(row.owner, {})[row.key] = row
         self._held = self._held.plus(row.need)
 
     def remove(self, key: RunKey) -> RunRow | None:
-        """Remove a run that is over, and free its room."""
+        """Remove a run that is over and free its resources."""
         row = self._rows.pop(key, None)
         if row is not None:
             self._held = self._held.minus(row.need)
@@ -139,7 +140,7 @@
         return list(rows.values()) if rows else []
 
     def owners(self) -> list[str]:
-        """Return the entries that ordered any of the runs."""
+        """Return the incarnations of the entries that ordered the runs."""
         return list(self._by_owner)
 
     def has_owner(self, owner: str) -> bool:
--- a/src/ferryledge/leases/_seeking.py
+++ b/src/ferryledge/leases/_seeking.py
@@ -1,8 +1,8 @@
-"""How an entry finds agents beside those that chose it.
+"""Finds agents for an entry, in addition to those that connect on their own.
 
-Agents keep streams to a few entries. An entry that has hardly any, or none
-whose endpoint can run a job, asks the other entries, which invite fitting
-agents of theirs to serve it as well.
+Agents keep streams to a few entries. An entry that has too few agents, or none
+whose endpoint fits a job, asks the other entries. These invite suitable agents
+of theirs to connect to it.
 """
 
 import math
@@ -17,29 +17,29 @@
 from ferryledge.leases import _pool
 from ferryledge import wire
 
-#: Agents below which an entry seeks more: with fewer, a burst at one entry
-#: finds no room that others have.
-LEAST_AGENTS = 16
-#: Seconds between searches for more agents, less than an invited one stays.
-_EVERY_S = 5.0
-#: Seconds from its start in which agents come unasked.
-_START_S = 3.0
-#: Seconds until an invited agent has told its room: a round trip to another
-#: entry, one to its agent, and a handshake.
+#: Agents below which an entry asks for more. With fewer, a burst at the entry
+#: can't use the room of the pool.
+MIN_AGENTS = 16
+#: Seconds between searches for more agents; shorter than invited agents stay.
+_INTERVAL_S = 5.0
+#: Seconds after its start in which an entry waits for agents to connect.
+_STARTUP_S = 3.0
+#: Seconds within which an invited agent connects and reports its room: a round
+#: trip to another entry, one to its agent, and a handshake.
 _ARRIVE_S = 0.25
-#: Seconds after a vain search for which the same need is taken for hopeless.
-_HOPELESS_S = 5.0
-#: Seconds between searches for jobs that fit nowhere: many may come that can
-#: never be done, each with another need, and a search asks every entry.
-_PAUSE_S = 0.1
+#: Seconds after a search in which the same requirement isn't searched again.
+_UNSATISFIED_S = 5.0
+#: Least seconds between two searches for jobs that fit nowhere, since a search
+#: asks every entry and each such job may have another requirement.
+_JOB_INTERVAL_S = 0.1
 #: Agents that each entry is asked to invite for a job that fits nowhere.
-_FOR_A_JOB = 2
-#: Most needs that are remembered; the oldest one is forgotten.
-_MOST_NEEDS = 200
+_AGENTS_PER_JOB = 2
+#: Most requirements that are remembered; the oldest is dropped.
+_MAX_REQUIREMENTS = 200
 
 
-class _Need(msgspec.Struct, frozen=True):
-    """What an endpoint must have for a step's tasks."""
+class _Requirement(msgspec.Struct, frozen=True):
+    """What an endpoint needs to run the tasks of a step."""
 
     service: str
     label: str
@@ -49,10 +49,10 @@
 class Seeking:
     """Asks other entries for agents, and invites agents for them.
 
-    :param name: this entry
-    :param pool: its agents
+    :param name: the name of this entry
+    :param pool: the agents that this entry knows
     :param peers: the other entries
-    :param notes: what is decided
+    :param notes: logs decisions
     """
 
     def __init__(
@@ -67,78 +67,88 @@
         self._peers = peers
         self._notes = notes
         self._started_at: float | None = None
-        self._sought_at = float("-inf")
-        self._sought_for_a_job_at = float("-inf")
-        #: When each need was sought that fitted nowhere.
-        self._needs: dict[_Need, float] = {}
+        self._last_search_at = float("-inf")
+        self._last_job_search_at = float("-inf")
+        #: When each requirement that fitted nowhere was last searched.
+        self._searched_at: dict[_Requirement, float] = {}
 
     def look(self, now: float) -> list[_entry_events.SendMessage]:
-        """Return what to ask of other entries, if there are few agents."""
+        """Return the messages of a search if there are too few agents."""
         if self._started_at is None:
             self._started_at = now
-        early = now - self._started_at < _START_S
-        if early or now - self._sought_at < _EVERY_S:
+        is_starting = now - self._started_at < _STARTUP_S
+        if is_starting or now - self._last_search_at < _INTERVAL_S:
             return []
-        names = [row.name for row in self._pool if row.connected]
-        missing = LEAST_AGENTS - len(names)
+        agents = [row.name for row in self._pool if row.connected]
+        missing = MIN_AGENTS - len(agents)
         entries = self._peers.entry_names()
         if missing <= 0 or not entries:
             return []
-        self._sought_at = now
-        each = math.ceil(missing / len(entries))
-        nothing = _Need("", "", wire.Resources())
-        return self._keep(names) + self._ask(entries, nothing, each)
-
-    def _keep(self, names: list[str]) -> list[_entry_events.SendMessage]:
-        """Let agents stay that were invited before."""
-        own = self._peers.address_of(self._name)
-        if own is None:
+        self._last_search_at = now
+        count = math.ceil(missing / len(entries))
+        anything = _Requirement("", "", wire.Resources())
+        return self._renew_invitations(agents) + self._ask(
+            entries, anything, count
+        )
+
+    def _renew_invitations(
+        self, agents: list[str]
+    ) -> list[_entry_events.SendMessage]:
+        """Renew the invitations of the connected agents."""
+        own_address = self._peers.address_of(self._name)
+        if own_address is None:
             return []
-        invitation = wire.Invite(own)
-        return [_entry_events.SendMessage(name, invitation) for name in names]
+        invitation = wire.Invite(own_address)
+        return [_entry_events.SendMessage(name, invitation) for name in agents]
 
     def seek(
         self, now: float, job: _jobs.Job
     ) -> tuple[bool, list[_entry_events.SendMessage]]:
-        """Seek endpoints for the steps of a job that fit nowhere.
+        """Search endpoints for the steps of a job that fit nowhere.
 
-        :return: whether some may still come, and what to send
+        :return: whether suitable endpoints may still come, and the messages
+            to send
         """
         entries = self._peers.entry_names()
         if not entries:
             return False, []
         if not self._pool.is_usable(now):
-            # Its own agents are still to come, or its zones taken back.
+            # Agents may still connect, or zones may be uncordoned.
             return not self._pool.all_cordoned, []
-        hope = True
+        may_come = True
         messages: list[_entry_events.SendMessage] = []
         service = job.request.job_class.service
         for step in _placing.unfit_steps(self._pool, job):
-            need = _Need(service, step.label, step.need)
-            sought_at = self._needs.get(need, float("-inf"))
-            if now - sought_at <= _HOPELESS_S:
-                hope = hope and now - sought_at <= _ARRIVE_S
-            elif now - self._sought_for_a_job_at >= _PAUSE_S:
-                self._sought_for_a_job_at = now
-                self._note(need, now)
-                messages += self._ask(entries, need, _FOR_A_JOB)
-        return hope, messages
-
-    def _note(self, need: _Need, now: float) -> None:
-        self._needs.pop(need, None)
-        if len(self._needs) >= _MOST_NEEDS:
-            del self._needs[next(iter(self._needs))]
-        self._needs[need] = now
+            requirement = _Requirement(service, step.label, step.need)
+            searched_at = self._searched_at.get(requirement, float("-inf"))
+            if now - searched_at <= _UNSATISFIED_S:
+                may_come = may_come and now - searched_at <= _ARRIVE_S
+            elif now - self._last_job_search_at >= _JOB_INTERVAL_S:
+                self._last_job_search_at = now
+                self._remember(requirement, now)
+                messages += self._ask(entries, requirement, _AGENTS_PER_JOB)
+        return may_come, messages
+
+    def _remember(self, requirement: _Requirement, now: float) -> None:
+        self._searched_at.pop(requirement, None)
+        if len(self._searched_at) >= _MAX_REQUIREMENTS:
+            del self._searched_at[next(iter(self._searched_at))]
+        self._searched_at[requirement] = now
 
     def _ask(
-        self, entries: list[str], need: _Need, count: int
+        self, entries: list[str], requirement: _Requirement, count: int
     ) -> list[_entry_events.SendMessage]:
-        own = self._peers.address_of(self._name)
-        if own is None:
+        own_address = self._peers.address_of(self._name)
+        if own_address is None:
             return []
         known = tuple(row.name for row in self._pool if row.connected)
         message = wire.SeekAgents(
-            own, need.service, need.label, need.need, count, known
+            own_address,
+            requirement.service,
+            requirement.label,
+            requirement.need,
+            count,
+            known,
         )
         self._notes.sought(message, len(entries))
         return [_entry_events.SendMessage(entry, message) for entry in entries]
@@ -146,9 +156,9 @@
     def invite(
         self, now: float, sought: wire.SeekAgents
     ) -> list[_entry_events.SendMessage]:
-        """Return the invitations for another entry's search."""
+        """Return the invitations to send for another entry's search."""
         step = _jobs.JobStep(1, sought.need, label=sought.label)
-        found = [
+        suitable = [
             row
             for row in self._pool
             if row.usable(now)
@@ -156,8 +166,8 @@
             and sought.service in ("", row.state.service)
             and _placing.fits(row, step)
         ]
-        names = [row.name for row in found[: sought.count]]
-        if names:
-            self._notes.invited(sought, names)
+        agents = [row.name for row in suitable[: sought.count]]
+        if agents:
+            self._notes.invited(sought, agents)
         invitation = wire.Invite(sought.entry)
-        return [_entry_events.SendMessage(name, invitation) for name in names]
+        return [_entry_events.SendMessage(name, invitation) for name in agents]
--- a/src/ferryledge/leases/_speed.py
+++ b/src/ferryledge/leases/_speed.py
@@ -1,8 +1,7 @@
-"""How fast an endpoint works, from the progress of what runs there.
+"""Estimates the speed of an endpoint from the progress of its runs.
 
-A job's declared time is a guess, an endpoint's speed is shared by all that
-runs on it: so the speed is averaged over the jobs, and a slow endpoint is
-told apart from a large job.
+The expected run time of a job is only a guess. The speed is therefore averaged
+over jobs, so that a single large job does not make an endpoint look slow.
 """
 
 from collections import abc
@@ -10,25 +9,26 @@
 
 import msgspec
 
-#: Weight of the speed that is assumed, in jobs: a single job whose declared
-#: time is far off must not make an endpoint slow.
-_ASSUMED_WEIGHT = 1.5
-#: Weight of a run that stands still; no declared time explains that.
-_STILL_WEIGHT = 3.0
-#: Seconds without any progress after which a run stands still.
-_STILL_S = 0.15
-#: Seconds without any progress after which a run counts as hung although the
-#: endpoint does well, at the least and as a share of its expected time:
-#: progress is told in whole percents.
+#: Weight of the prior speed, in jobs; keeps a single job with a wrong estimate
+#: from making the endpoint slow.
+_PRIOR_WEIGHT = 1.5
+#: Weight of a job whose runs are all stalled; no wrong estimate explains that.
+_STALLED_WEIGHT = 3.0
+#: Seconds without progress after which a run is stalled.
+_STALLED_S = 0.15
+#: Least seconds without progress after which a run is hung even if its
+#: endpoint is not slow.
 _HUNG_S = 0.3
+#: The same as a share of the expected run time, since endpoints report
+#: progress in whole percents.
 _HUNG_SHARE = 0.05
-#: Largest speed that one run is taken to show.
-_FASTEST = 2.0
-#: Shortest time between two samples of one run; progress is whole percents.
-_SAMPLE_S = 0.05
-#: An endpoint on which everything stands still counts as this slow.
-MOST_SLOWNESS = 50.0
-#: Below this an endpoint's slowness is its usual one, or noise.
+#: Largest speed that is taken from a single run.
+_MAX_SPEED = 2.0
+#: Least seconds between two samples of a run.
+_MIN_SAMPLE_S = 0.05
+#: Largest slowness of an endpoint, even if all its runs are stalled.
+MAX_SLOWNESS = 50.0
+#: Slowness from which an endpoint is slow; below it is usual variation.
 SLOW_FROM = 2.0
 
 
@@ -40,40 +40,40 @@
     expected_s: float
     sampled_at: float
     done: float = 0.0
-    #: Share of its work done in a second, lately.
+    #: Share of its work done in a second, by the last sample.
     rate: float = 0.0
     samples: int = 0
-    #: When it was seen to come further, last.
-    moved_at: float = 0.0
+    #: When progress was last observed.
+    progressed_at: float = 0.0
 
     def start(self, now: float) -> None:
-        """Begin to count: the endpoint said that it runs."""
+        """Start measuring once the endpoint confirmed the start."""
         self.sampled_at = now
-        self.moved_at = now
+        self.progressed_at = now
 
     def sample(self, now: float, done: float) -> None:
-        """Take in how far it is."""
-        passed = now - self.sampled_at
-        if passed < _SAMPLE_S:
+        """Record the share of the work that is done."""
+        elapsed_s = now - self.sampled_at
+        if elapsed_s < _MIN_SAMPLE_S:
             return
         if done > self.done:
-            self.moved_at = now
-        self.rate = max(0.0, done - self.done) / passed
+            self.progressed_at = now
+        self.rate = max(0.0, done - self.done) / elapsed_s
         self.done = done
         self.sampled_at = now
         self.samples += 1
 
-    def stands_still(self, now: float) -> bool:
-        """Return whether it makes no progress at all."""
-        return self.rate <= 0.0 and now - self.moved_at > _STILL_S
+    def is_stalled(self, now: float) -> bool:
+        """Return whether it makes no progress."""
+        return self.rate <= 0.0 and now - self.progressed_at > _STALLED_S
 
     def is_hung(self, now: float) -> bool:
-        """Return whether it stands still for longer than steps explain."""
-        patience_s = max(_HUNG_S, _HUNG_SHARE * self.expected_s)
-        return self.rate <= 0.0 and now - self.moved_at > patience_s
+        """Return whether it has stalled for longer than rounding explains."""
+        limit_s = max(_HUNG_S, _HUNG_SHARE * self.expected_s)
+        return self.rate <= 0.0 and now - self.progressed_at > limit_s
 
     def left_s(self, now: float) -> float:
-        """Return the seconds until its end at its last rate."""
+        """Return the seconds until its end at the last rate."""
         if self.rate <= 0.0:
             return math.inf
         left = (1.0 - self.done) / self.rate
@@ -84,19 +84,19 @@
     """The speed of an endpoint, averaged over its runs."""
 
     def __init__(self) -> None:
-        self._assumed = 1.0
+        self._prior = 1.0
         self._speed = 1.0
 
     @property
     def slowness(self) -> float:
-        """How many times as long runs take here as they should."""
-        return 1.0 / max(self._speed, 1.0 / MOST_SLOWNESS)
+        """The ratio of actual to expected run times here."""
+        return 1.0 / max(self._speed, 1.0 / MAX_SLOWNESS)
 
     @property
     def reported(self) -> float:
-        """The slowness as entries are told: 1 unless it is out of bounds.
+        """The slowness as it is reported to entries; 1 below the threshold.
 
-        In steps, so that noise is not sent to every entry.
+        It is rounded to powers of two, so that noise causes no reports.
         """
         slowness = self.slowness
         if slowness < SLOW_FROM:
@@ -104,11 +104,11 @@
         return max(SLOW_FROM, 2.0 ** round(math.log2(slowness)))
 
     def update(self, now: float, paces: abc.Iterable[RunPace]) -> None:
-        """Take in the present progress of all runs.
+        """Update the speed from the progress of all runs.
 
-        With none to tell, the last word stands: an endpoint that became
-        slow is slow until a run shows otherwise. The runs of one job count
-        as one, since the same guess of their time is behind them all.
+        Without samples the speed stays, so a slow endpoint is slow until
+        a run shows otherwise. The runs of a job count as one sample, since
+        they share the same estimate.
         """
         by_job: dict[str, list[RunPace]] = {}
         for pace in paces:
@@ -116,18 +116,18 @@
                 by_job.setdefault(pace.job, []).append(pace)
         if not by_job:
             return
-        weight = _ASSUMED_WEIGHT
-        total = _ASSUMED_WEIGHT * self._assumed
+        weight = _PRIOR_WEIGHT
+        total = _PRIOR_WEIGHT * self._prior
         for job_paces in by_job.values():
-            still = all(pace.stands_still(now) for pace in job_paces)
-            own = _STILL_WEIGHT if still else 1.0
-            weight += own
-            total += own * _mean_speed(job_paces)
+            all_stalled = all(pace.is_stalled(now) for pace in job_paces)
+            job_weight = _STALLED_WEIGHT if all_stalled else 1.0
+            weight += job_weight
+            total += job_weight * _mean_speed(job_paces)
         self._speed = total / weight
-        slow = self.slowness >= SLOW_FROM
-        self._assumed = self._speed if slow else 1.0
+        is_slow = self.slowness >= SLOW_FROM
+        self._prior = self._speed if is_slow else 1.0
 
 
 def _mean_speed(paces: list[RunPace]) -> float:
-    speeds = [min(pace.rate * pace.expected_s, _FASTEST) for pace in paces]
+    speeds = [min(pace.rate * pace.expected_s, _MAX_SPEED) for pace in paces]
     return sum(speeds) / len(speeds)
--- a/src/ferryledge/leases/_states.py
+++ b/src/ferryledge/leases/_states.py
@@ -1,4 +1,9 @@
-"""When an entry is told again how an agent's endpoint stands."""
+"""Decides when an agent reports the state of its endpoint to an entry.
+
+An agent keeps a few primary entries up to date and reports to the others
+seldom. Free room is announced to the primary entries one after the other, so
+that they do not all compete for it.
+"""
 
 import functools
 
@@ -7,71 +12,68 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Entries that an agent keeps up to date: few enough that they seldom want
-#: the same room, and that reports stay bounded as entries are added.
+#: Entries that an agent keeps up to date (its primary entries). A small number
+#: keeps them from competing for the same room and bounds the reports.
 HOMES = 4
-#: Seconds between reports to other entries, and while room is plentiful.
-SELDOM_S = 0.45
-PLENTY_S = 0.1
-#: The same to a home while room is scarce: a few changes share a report.
-SCARCE_S = 0.004
-#: Room that becomes free is shown to one home after the other, this many
-#: seconds apart: about a round trip, so that the first can take it before
-#: the next one would ask for it in vain.
-TURN_S = 0.002
-#: Share of the capacity that must be free to be plenty.
+#: Seconds between reports to other entries.
+SECONDARY_INTERVAL_S = 0.45
+#: Seconds between reports to a primary entry while much room is free.
+PLENTY_INTERVAL_S = 0.1
+#: The same while room is scarce, so that a few changes share a report.
+SCARCE_INTERVAL_S = 0.004
+#: Seconds between the announcements of free room to two primary entries, about
+#: a round trip: the first entry can use the room before the next one tries to.
+STAGGER_S = 0.002
+#: Share of free capacity from which room is plentiful.
 _PLENTY_SHARE = 0.25
-
-
-_NOTHING = wire.Resources()
+_NO_ROOM = wire.Resources()
 
 
 class Turns(msgspec.Struct):
-    """Whose turn it is to hear first of room that became free."""
+    """The order in which free room is reported to the primary entries."""
 
-    free: wire.Resources = _NOTHING
+    free: wire.Resources = _NO_ROOM
     freed_at: float = 0.0
     turn: int = 0
 
     def see(self, now: float, free: wire.Resources) -> None:
-        """Take in the present room."""
+        """Record the free room, and start a new turn if it grew."""
         if free.cpu_millis > self.free.cpu_millis:
             self.freed_at = now
             self.turn += 1
         self.free = free
 
     def order(self, wanted_by: dict[str, float]) -> list[str]:
-        """Return homes in the order in which they hear of freed room.
+        """Return the primary entries in the order of their reports.
 
-        The one with the most urgent job comes first. Those that wait for
-        nothing take turns behind the others.
+        Entries with urgent jobs come first. Entries that are equally urgent,
+        such as those without waiting jobs, take turns.
 
-        :param wanted_by: the homes' names with the latest start that their
-            most urgent waiting job can bear
+        :param wanted_by: the names of the primary entries with the latest
+            start of their most urgent waiting job
         """
         names = list(wanted_by)
-        places = len(names)
+        count = len(names)
 
         def key(name: str) -> tuple[float, int]:
-            return wanted_by[name], (names.index(name) + self.turn) % places
+            return wanted_by[name], (names.index(name) + self.turn) % count
 
         return sorted(names, key=key)
 
     def shown_at(self, place: int) -> float:
-        """Return when the home at that place hears of room freed last."""
-        return self.freed_at + TURN_S * place
+        """Return when to report freed room to the entry at a place."""
+        return self.freed_at + STAGGER_S * place
 
 
 @functools.lru_cache(maxsize=64)
 def homes_of(agent: str, entries: tuple[str, ...]) -> list[str]:
     """Return the entries that an agent keeps up to date.
 
-    Entries and agents agree on them as far as they know the same entries;
-    where they don't, reports come seldom and orders are turned down, no
-    more.
+    Entries and agents compute the same result if they know the same entries.
+    Where they differ, reports are rare and orders may be turned down.
 
-    :param agent: the agent's name
-    :param entries: names of the entries that are connected, sorted
+    :param agent: the name of the agent
+    :param entries: the sorted names of the connected entries
     """
     return placement.rank(agent, entries)[:HOMES]
 
@@ -82,7 +84,7 @@
 
 
 def but_room(state: wire.EndpointState) -> tuple[object, ...]:
-    """Return what an entry hears of at once when it changes."""
+    """Return the fields whose changes are reported at once."""
     return (
         state.incarnation,
         state.service,
@@ -104,26 +106,26 @@
     state: wire.EndpointState,
     shown_at: float | None,
 ) -> float:
-    """Return when a report is due, in monotonic seconds; never is infinite.
+    """Return when a report to an entry is due; infinite if never.
 
-    Where there is plenty of room, an entry's own orders keep its view close
-    enough.
+    While much room is free, reports are rare, since an entry's view stays
+    close enough by its own orders.
 
-    :param told: what the entry was told last, with the room that it counts
-        with since; none if nothing
-    :param told_at: when that was
-    :param state: the endpoint's state now
-    :param shown_at: when it is the entry's turn to hear of freed room; none
-        if it is no home
+    :param told: the last state that was reported, with the free room that the
+        entry assumes since then; none if nothing was reported
+    :param told_at: when that was, in monotonic seconds
+    :param state: the state of the endpoint now
+    :param shown_at: when to announce free room to the entry, in monotonic
+        seconds; none if it is not a primary entry
     """
     if state == told:
         return float("inf")
     if told is None or but_room(told) != but_room(state):
         return told_at
     if shown_at is None:
-        return told_at + SELDOM_S
+        return told_at + SECONDARY_INTERVAL_S
     if _is_plenty(told) and _is_plenty(state):
-        return told_at + PLENTY_S
+        return told_at + PLENTY_INTERVAL_S
     if state.free.cpu_millis > told.free.cpu_millis:
-        return max(told_at + SCARCE_S, shown_at)
-    return told_at + SCARCE_S
+        return max(told_at + SCARCE_INTERVAL_S, shown_at)
+    return told_at + SCARCE_INTERVAL_S
