--- a/src/ferryledge/leases/tests/test_evidence.py
+++ b/src/ferryledge/leases/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Endpoints that can't be trusted, known by all entries."""
+"""Failing and flapping endpoints, as agents report them to entries."""
 
 from collections import abc
 import dataclasses
@@ -28,34 +28,36 @@
 
 @pytest.fixture
 def evidence() -> _evidence.Evidence:
-    """Return what an agent knows after a few good ends for each zone."""
-    made = _evidence.Evidence()
+    """Return failure rates after a successful run of each zone."""
+    rates = _evidence.Evidence()
     for zone in (_NORTH, _SOUTH):
-        made.note_end(0.5, zone, "a", True)
-    return made
+        rates.note_end(0.5, zone, "a", True)
+    return rates
 
 
-def test_failures_of_distinct_jobs_are_told(
+def test_failures_of_distinct_jobs_are_reported(
     evidence: _evidence.Evidence,
 ) -> None:
     _fail(evidence, _NORTH, 3)
     assert _rate(evidence, _NORTH) >= 0.45
 
 
-def test_one_job_that_fails_speaks_once(evidence: _evidence.Evidence) -> None:
+def test_repeated_failures_of_one_job_count_once(
+    evidence: _evidence.Evidence,
+) -> None:
     for _ in range(9):
         evidence.note_end(1.0, _NORTH, "poison", False)
     assert not evidence.told(1.1)
 
 
-def test_failures_for_one_zone_say_nothing_of_others(
+def test_failures_for_one_zone_do_not_count_for_others(
     evidence: _evidence.Evidence,
 ) -> None:
     _fail(evidence, _NORTH, 9)
     assert not _rate(evidence, _SOUTH)
 
 
-def test_failures_for_all_zones_speak_for_one_that_is_unknown(
+def test_failures_for_all_zones_count_for_an_unknown_zone(
     evidence: _evidence.Evidence,
 ) -> None:
     _fail(evidence, _NORTH, 9)
@@ -63,13 +65,13 @@
     assert _rate(evidence, "east") >= 0.45
 
 
-def test_evidence_expires(evidence: _evidence.Evidence) -> None:
+def test_failure_rates_expire(evidence: _evidence.Evidence) -> None:
     _fail(evidence, _NORTH, 9)
     assert _rate(evidence, _NORTH)
     assert not _rate(evidence, _NORTH, 60.0)
 
 
-def test_failures_count_on_over_a_restart(
+def test_failure_count_rises_across_a_restart(
     evidence: _evidence.Evidence,
 ) -> None:
     _fail(evidence, _NORTH, 4)
@@ -80,7 +82,7 @@
     assert _evidence.of_zone(evidence.told(1.7), _NORTH).failures > before
 
 
-def test_agent_of_an_earlier_release_tells_nothing() -> None:
+def test_agent_of_an_earlier_release_reports_nothing() -> None:
     old = wire.EndpointState("i-1", "desk")
     assert not _evidence.of_zone(old.failing, _NORTH).rate
     assert old.steady == 1.0
@@ -92,13 +94,13 @@
         outages.note_back(at + 0.5)
 
 
-def test_one_outage_costs_nothing() -> None:
+def test_one_outage_reduces_no_share() -> None:
     outages = _evidence.Outages()
     _go_down(outages, 1.0)
     assert outages.steady(1.5) == 1.0
 
 
-def test_flapping_endpoint_gets_more_as_it_holds() -> None:
+def test_share_of_a_flapping_endpoint_rises_in_steps() -> None:
     outages = _evidence.Outages()
     _go_down(outages, 1.0, 2.0, 3.0)
     shares = [outages.steady(3.5 + n * 0.25) for n in range(5)]
@@ -106,7 +108,7 @@
     assert outages.due_at(3.6) == 3.75
 
 
-def test_the_more_outages_the_longer_it_must_hold() -> None:
+def test_share_rises_more_slowly_after_more_outages() -> None:
     outages = _evidence.Outages()
     _go_down(outages, 1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0)
     assert outages.steady(8.5) < 0.5
@@ -121,11 +123,11 @@
     assert outages.steady(3.03) == 1.0
 
 
-def _rows(count: int, shaky: int) -> list[_pool.AgentRow]:
+def _rows(count: int, flapping: int) -> list[_pool.AgentRow]:
     rows = []
     for number in range(count):
         row = _pool.AgentRow(f"agent-{number}", "1")
-        steady = 0.25 if number < shaky else 1.0
+        steady = 0.25 if number < flapping else 1.0
         row.state = wire.EndpointState(
             capacity=worlds.ROOM,
             free=worlds.ROOM,
@@ -136,7 +138,7 @@
     return rows
 
 
-def test_shaky_endpoint_is_used_in_part() -> None:
+def test_flapping_endpoint_is_used_in_part() -> None:
     (row, *_) = rows = _rows(9, 1)
     assert _quarantine.held_back(rows) == {"agent-0": 0.25}
     room = _quarantine.room_of(row, 0.25, 5)
@@ -167,7 +169,7 @@
 
 
 def _flap(world: worlds.World) -> None:
-    """Let endpoints be down for 0.7 s of each 1.4 s, not all at once."""
+    """Let endpoints be down for 0.7 s of each 1.4 s, at different times."""
     for number, agent in enumerate(_BAD):
         for turn in range(6):
             at = 0.4 * number + 1.4 * turn
@@ -175,15 +177,17 @@
 
 
 def _play(
-    strike: abc.Callable[[worlds.World], None], rules: leases.EntryRules
+    inject: abc.Callable[[worlds.World], None], rules: leases.EntryRules
 ) -> tuple[float, int]:
-    """Play half of what the pool can do while a third is not to be trusted.
+    """Submit half of the pool's capacity while a third of the pool is faulty.
 
-    :return: the share of jobs that was served, and runs without a result
+    :param inject: injects the fault
+    :param rules: the rules in force
+    :return: the share of jobs that were served, and runs without a result
     """
     world = worlds.World(3, 8, 10, rules=rules, entry_zones=(_NORTH, _SOUTH))
     world.run(3.0)
-    strike(world)
+    inject(world)
     tokens = []
     for number in range(_COUNT):
         entry = world.entries[number % 8]
@@ -199,21 +203,21 @@
 
 
 @pytest.mark.parametrize(
-    ("strike", "rule"),
+    ("inject", "rule"),
     [(_fail_all, "shared_evidence"), (_flap, "damped_flaps")],
 )
-def test_three_of_ten_endpoints_cost_few_runs(
-    strike: abc.Callable[[worlds.World], None], rule: str
+def test_three_faulty_endpoints_of_ten_cost_few_runs(
+    inject: abc.Callable[[worlds.World], None], rule: str
 ) -> None:
-    """Each entry found out by itself, by losing runs of its own jobs."""
-    served, lost = _play(strike, leases.EntryRules())
+    """Guards against entries that each learn of a fault by losing runs."""
+    served, lost = _play(inject, leases.EntryRules())
     assert served >= 0.99
     without = dataclasses.replace(leases.EntryRules(), **{rule: False})
-    _, lost_without = _play(strike, without)
+    _, lost_without = _play(inject, without)
     assert lost < 0.8 * lost_without
 
 
-def test_three_of_ten_endpoints_that_fail_one_zone_cost_few_runs() -> None:
+def test_three_endpoints_that_fail_one_zone_cost_few_runs() -> None:
     served, lost = _play(_fail_south, leases.EntryRules())
     assert served >= 0.99
     assert lost < 0.02 * 4 * _COUNT
@@ -225,16 +229,16 @@
     return told[0] if told else wire.ZoneFailures(zone, 0.0, 0)
 
 
-@pytest.mark.parametrize("apart", [True, False])
+@pytest.mark.parametrize("is_by_zone", [True, False])
 def test_endpoint_that_fails_one_zone_serves_the_others(
-    apart: bool, monkeypatch: pytest.MonkeyPatch
+    is_by_zone: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if not apart:
+    if not is_by_zone:
         monkeypatch.setattr(_evidence, "of_zone", _any_zone)
     world = worlds.World(3, 8, 10, entry_zones=(_NORTH, _SOUTH))
     world.run(3.0)
     _fail_south(world)
-    doubted = {_NORTH: 0, _SOUTH: 0}
+    suspected = {_NORTH: 0, _SOUTH: 0}
     for number in range(150):
         entry = world.entries[number % 8]
         name = f"{number:016x}"
@@ -243,15 +247,15 @@
         for entry in world.entries:
             rows = world.nodes[entry].core.pool
             zone = world.entry_zone_of[entry]
-            doubted[zone] += sum(row.doubted for row in rows)
-    assert doubted[_SOUTH]
-    assert (not doubted[_NORTH]) is apart
+            suspected[zone] += sum(row.doubted for row in rows)
+    assert suspected[_SOUTH]
+    assert (not suspected[_NORTH]) is is_by_zone
 
 
-@pytest.mark.parametrize("bounded", [True, False])
-def test_pool_that_fails_is_not_flooded_by_second_tries(bounded: bool) -> None:
+@pytest.mark.parametrize("is_limited", [True, False])
+def test_failing_pool_is_not_flooded_by_retries(is_limited: bool) -> None:
     world = worlds.World(
-        3, 2, 6, rules=leases.EntryRules(retry_budget=bounded)
+        3, 2, 6, rules=leases.EntryRules(retry_budget=is_limited)
     )
     world.run(3.0)
     world.failing |= {f"endpoint-of-{agent}" for agent in world.agents}
@@ -261,16 +265,16 @@
         name = f"{number:016x}"
         world.submit(entry, name, 1, 0.1, 800, job_class=job_class)
         world.run(0.02)
-    again = sum(count - 1 for count in world.started.values())
-    # A fifth, what is saved at first, and what each second brings.
+    retried = sum(count - 1 for count in world.started.values())
+    # A fifth of the starts, the initial tokens, and those of each second.
     most = 0.2 * len(world.started) + 2 * (10 + 10 * 4)
-    assert (again <= most) is bounded, again
+    assert (retried <= most) is is_limited, retried
 
 
 def test_endpoint_whose_probe_is_lost_is_probed_again() -> None:
-    """The client of an ejected endpoint's probe left, and it was stopped.
+    """Guards against waiting forever for a probe that was stopped.
 
-    Its entry waited for its end for ever and used the endpoint no more.
+    It is stopped since its client leaves.
     """
     world = worlds.World(5, 1, 3)
     world.run(3.0)
@@ -298,10 +302,7 @@
 
 
 def test_endpoint_that_is_replaced_is_used_again() -> None:
-    """An ejected endpoint was restarted and no entry used it any more.
-
-    The judge began anew with it, but the row of the pool stayed ejected.
-    """
+    """Guards against an ejection that outlives a restart of the endpoint."""
     world = worlds.World(
         5, 1, 3, rules=leases.EntryRules(shared_evidence=False)
     )
@@ -321,10 +322,10 @@
 
 
 @pytest.mark.parametrize("moves", [True, False])
-def test_run_that_hangs_while_others_go_on_is_made_elsewhere(
+def test_hanging_run_beside_healthy_ones_is_moved(
     moves: bool,
 ) -> None:
-    """Only endpoints on which all runs slow down lost theirs to others."""
+    """Guards against moving runs only from endpoints that are slow overall."""
     world = worlds.World(
         3, 2, 4, rules=dataclasses.replace(leases.EntryRules(), moves=moves)
     )
--- a/src/ferryledge/leases/tests/test_matrix.py
+++ b/src/ferryledge/leases/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of a leased task."""
+"""Every fault at every step of a leased job, and faults in series."""
 
 import random
 
@@ -9,8 +9,8 @@
 from ferryledge import outcomes
 
 _SEEDS = (*range(24), 157)
-#: Faults that were added since a seed failed. Seeds that failed are played
-#: without them as well, so that they go on drawing what they drew then.
+#: Faults that were added after a seed failed. Such seeds are played without
+#: them as well, so that they still draw the same series.
 _LATER_FAULTS = (
     "configurations late or torn",
     "endpoint flaps",
@@ -23,8 +23,8 @@
 @pytest.mark.parametrize("fault", faults.FAULTS)
 def test_fault_at_step(fault: str, step: str) -> None:
     for seed in (1, 2):
-        strike = faults.FAULTS[fault]
-        world = faults.play(strike, faults.STEPS[step], seed * 100)
+        inject = faults.FAULTS[fault]
+        world = faults.play(inject, faults.STEPS[step], seed * 100)
         faults.check(world)
         untouched = [
             world.answers[token]
@@ -36,22 +36,21 @@
 
 @pytest.mark.parametrize("seed", _SEEDS)
 def test_faults_in_series(seed: int) -> None:
-    """Faults overlap while jobs keep coming to both entries."""
+    """Faults overlap while jobs are submitted to both entries."""
     _play_series(seed, list(faults.FAULTS))
 
 
-def test_order_that_came_after_a_restart_starts_nothing() -> None:
-    """A series in which an order started a task once its endpoint was anew.
+def test_order_that_arrives_after_a_restart_starts_nothing() -> None:
+    """Guards against an order that starts a task on a restarted endpoint.
 
-    The order had been on its way to the start before, whose runs were taken
-    for lost with it.
+    The runs of the earlier start are already considered lost by then.
     """
-    names = [one for one in faults.FAULTS if one not in _LATER_FAULTS]
+    names = [name for name in faults.FAULTS if name not in _LATER_FAULTS]
     _play_series(157, names)
 
 
 def _play_series(seed: int, names: list[str]) -> None:
-    """Let jobs come while faults with these names strike."""
+    """Submit jobs while faults of these names are injected."""
     rng = random.Random(seed)
     world = worlds.World(seed, entries=2, agents=4)
     world.run(2.0)
--- a/src/ferryledge/leases/tests/test_review.py
+++ b/src/ferryledge/leases/tests/test_review.py
@@ -1,4 +1,4 @@
-"""Which of the waiting jobs are put back, and which are in vain."""
+"""Which waiting jobs are put back, and which are refused."""
 
 from ferryledge.leases import _arrivals
 from ferryledge.leases import _forecast
@@ -10,14 +10,14 @@
 _IN_VAIN = _forecast.Prospect.IN_VAIN
 
 
-def _review_all(
+def _prospects(
     *needs: _forecast.Need, ahead: float = 0.0
 ) -> list[_forecast.Prospect]:
     room = _forecast.Room(10.0)
     forecaster = _forecast.Forecaster(_NOW, room, _arrivals.Inflow())
     jobs = [_review.Waiting(number, need) for number, need in enumerate(needs)]
-    told = _review.review(_NOW, forecaster, jobs, ahead)
-    return [told[number].prospect for number in range(len(needs))]
+    forecasts = _review.review(_NOW, forecaster, jobs, ahead)
+    return [forecasts[number].prospect for number in range(len(needs))]
 
 
 def _need(
@@ -26,34 +26,34 @@
     return _forecast.Need(work, 0.5, _NOW + slack_s, _NOW + useful_s)
 
 
-def test_all_are_in_time_where_room_is_enough() -> None:
-    prospects = _review_all(_need(1.0, 0.2), _need(5.0, 0.6))
+def test_jobs_are_in_time_with_enough_room() -> None:
+    prospects = _prospects(_need(1.0, 0.2), _need(5.0, 0.6))
     assert prospects == [_IN_TIME, _IN_TIME]
 
 
-def test_largest_is_put_back_for_those_that_would_be_late() -> None:
-    """One large job that goes first would make three small ones late."""
+def test_largest_job_is_put_back_for_jobs_that_would_be_late() -> None:
+    """A large job at the front would make three small ones late."""
     large, small = _need(5.0, 0.55), _need(1.0, 0.6)
-    prospects = _review_all(large, small, small, small)
+    prospects = _prospects(large, small, small, small)
     assert prospects == [_LATE, _IN_TIME, _IN_TIME, _IN_TIME]
 
 
-def test_one_that_could_not_wait_is_not_put_back() -> None:
+def test_job_whose_late_answer_is_useless_is_not_put_back() -> None:
     large = _need(5.0, 0.55, useful_s=1.0)
-    prospects = _review_all(large, _need(1.5, 0.6))
+    prospects = _prospects(large, _need(1.5, 0.6))
     assert prospects == [_IN_TIME, _LATE]
 
 
-def test_one_that_is_late_anyway_puts_nothing_back() -> None:
-    prospects = _review_all(_need(1.0, -0.1), _need(2.0, 0.5))
+def test_job_that_is_late_anyway_puts_no_other_back() -> None:
+    prospects = _prospects(_need(1.0, -0.1), _need(2.0, 0.5))
     assert prospects == [_LATE, _IN_TIME]
 
 
-def test_late_ones_are_in_vain_behind_those_that_are_useless_sooner() -> None:
+def test_late_jobs_are_ordered_by_their_last_useful_start() -> None:
     sooner = _need(4.0, -0.1, useful_s=1.0)
     later = _need(4.0, -0.1, useful_s=1.2)
-    assert _review_all(later, sooner) == [_IN_VAIN, _LATE]
+    assert _prospects(later, sooner) == [_IN_VAIN, _LATE]
 
 
-def test_work_that_has_begun_goes_first() -> None:
-    assert _review_all(_need(1.0, 0.2), ahead=3.0) == [_LATE]
+def test_started_jobs_are_placed_first() -> None:
+    assert _prospects(_need(1.0, 0.2), ahead=3.0) == [_LATE]
--- a/src/ferryledge/leases/tests/test_share.py
+++ b/src/ferryledge/leases/tests/test_share.py
@@ -1,15 +1,15 @@
-"""What an entry takes for its share of the pool."""
+"""The estimate of an entry's share of the pool."""
 
 import pytest
 
 from ferryledge.leases import _share
 
 
-def test_entries_share_alike_until_something_was_started() -> None:
+def test_entries_share_equally_before_the_first_start() -> None:
     assert _share.Share().cores(0.0, 80.0, 4) == 20.0
 
 
-def test_share_follows_what_was_started_lately() -> None:
+def test_share_follows_recently_started_work() -> None:
     share = _share.Share()
     for tick in range(400):
         share.note_started(tick / 100, 0.5, 1)
@@ -17,7 +17,7 @@
     assert share.cores(9.0, 80.0, 4) == 20.0
 
 
-def test_share_is_never_more_than_the_pool() -> None:
+def test_share_never_exceeds_the_pool() -> None:
     share = _share.Share()
     share.note_started(0.0, 1000.0, 1)
     assert share.cores(0.0, 80.0, 4) == 80.0
--- a/src/ferryledge/leases/tests/test_silence.py
+++ b/src/ferryledge/leases/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Streams that go silent for good are noticed and opened anew."""
+"""Silent streams are detected and replaced."""
 
 import random
 
@@ -7,11 +7,11 @@
 from ferryledge import outcomes
 from ferryledge import wire
 
-#: An agent opens a new stream after this silence, with a redial.
+#: Seconds of silence after which an agent has a new stream, with the redial.
 _REDIAL_S = 1.5 + 0.4
 
 
-def test_silent_streams_of_an_agent_are_replaced() -> None:
+def test_silent_streams_of_agents_are_replaced() -> None:
     world = worlds.World(seed=2, entries=1)
     world.run(2.0)
     for agent in world.agents:
@@ -39,7 +39,7 @@
     return core
 
 
-def test_entries_show_each_other_that_they_are_alive() -> None:
+def test_entries_send_each_other_keep_alives() -> None:
     sent = [
         action.message
         for action in _drive(_entry(), 2.0)
@@ -57,16 +57,18 @@
     assert closed == ["entry-1"]
 
 
-def test_entry_that_is_heard_keeps_its_stream() -> None:
+def test_stream_to_an_entry_that_sends_messages_stays_open() -> None:
     core = _entry()
     actions: list[object] = []
     for step in range(50):
         core.receive(step / 10, wire.Received("entry-1", wire.KeepAlive()))
         actions += core.tick(step / 10)
-    assert not any(isinstance(one, leases.CloseStream) for one in actions)
+    assert not any(
+        isinstance(action, leases.CloseStream) for action in actions
+    )
 
 
-def test_agent_that_was_paused_itself_opens_no_streams() -> None:
+def test_paused_agent_opens_no_new_streams() -> None:
     world = worlds.World(seed=4, entries=2, agents=2)
     world.run(2.0)
     world.submit("entry-0", "a" * 16, 4, work_s=2.0)
@@ -78,7 +80,7 @@
     assert world.reopened == before
 
 
-def test_entry_that_was_only_slow_keeps_its_stream() -> None:
+def test_slow_entry_keeps_its_stream() -> None:
     world = worlds.World(seed=4, entries=1, agents=2)
     world.run(2.0)
     token = world.submit("entry-0", "a" * 16, 4, work_s=0.8)
--- a/src/ferryledge/leases/tests/test_silent_orders.py
+++ b/src/ferryledge/leases/tests/test_silent_orders.py
@@ -1,4 +1,4 @@
-"""Orders that the endpoint leaves without an answer."""
+"""Orders that the endpoint does not answer."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from ferryledge import outcomes
 
 
-def test_limit_follows_what_answers_take() -> None:
+def test_limit_follows_the_answer_times() -> None:
     times = _answer_times.AnswerTimes(0.06)
     assert times.limit_s == pytest.approx(0.06)
     for _ in range(200):
@@ -16,14 +16,14 @@
     assert times.limit_s == pytest.approx(0.02)
 
 
-def test_limit_is_longer_where_answers_vary() -> None:
+def test_limit_is_longer_if_answers_vary() -> None:
     times = _answer_times.AnswerTimes(0.06)
     for number in range(400):
         times.note(0.004 + 0.01 * (number % 2))
     assert 0.03 < times.limit_s < 0.06
 
 
-def test_silent_order_is_repeated_elsewhere_within_a_tenth() -> None:
+def test_unanswered_order_is_repeated_elsewhere_within_a_tenth() -> None:
     world = worlds.World(seed=4)
     world.run(2.0)
     for number in range(60):
@@ -40,8 +40,8 @@
     assert not world.violations
 
 
-def test_older_list_that_comes_later_adopts_nothing() -> None:
-    """Two calls that list runs may overtake each other."""
+def test_outdated_list_adopts_no_run() -> None:
+    """The answers of two calls that list runs may be reordered."""
     world = worlds.World(seed=4, agents=1)
     world.run(2.0)
     world.submit("entry-0", "a" * 16, count=1, work_s=0.3)
@@ -62,7 +62,7 @@
 
 
 def settled_world() -> worlds.World:
-    """Return a world whose agents know how long answers take."""
+    """Return a world whose agents have learned the answer times."""
     world = worlds.World(seed=4)
     world.run(2.0)
     for number in range(60):
@@ -72,7 +72,7 @@
 
 
 def start_after_loss(world: worlds.World, loss_s: float) -> float:
-    """Return the seconds until a task starts whose calls are lost at first."""
+    """Return the seconds until a task starts while calls are lost at first."""
     world.late_orders = 1.0
     world.submit("entry-0", "f" * 16, count=1, work_s=0.2)
     sent_at = world.now
@@ -92,20 +92,17 @@
         pytest.param(0.042, 0.07, id="start and two stops"),
     ],
 )
-def test_lost_order_is_made_elsewhere_at_once(
+def test_lost_order_is_repeated_elsewhere_at_once(
     loss_s: float, within_s: float
 ) -> None:
-    """Each lost call cost a task more than a quick job may wait.
+    """Guards against agents that wait too long before they give an order up.
 
-    While every third call was lost, an agent gave an order up after 72 ms at
-    the least, 132 ms at the median and 413 ms in one of ten cases: it waited
-    for what a stop may take though the endpoint had confirmed it, repeated
-    stops after 60 ms where answers take one, and asked for a list only once.
+    Lost calls are repeated after the usual answer time, not after the longest.
     """
     assert start_after_loss(settled_world(), loss_s) < within_s
 
 
-def test_list_that_is_lost_is_asked_for_again() -> None:
+def test_lost_list_is_requested_again() -> None:
     world = settled_world()
     lists: list[float] = []
     carry_out = world._list_runs
@@ -116,14 +113,14 @@
             carry_out(agent, renewal)
 
     world._list_runs = lose_first
-    # Neither does the call that waits for ends tell anything.
+    # The call that waits for ends must not report the run either.
     world._renew_loop = lambda *_: None
     assert start_after_loss(world, 0.003) < 0.05
     assert lists[1] - lists[0] == pytest.approx(0.02, abs=0.002)
 
 
-def test_run_that_had_begun_is_over_before_its_task_starts_again() -> None:
-    """The order was carried out, and only its answer was lost."""
+def test_started_run_is_over_before_its_task_starts_again() -> None:
+    """The endpoint started the run, and only the answer was lost."""
     world = settled_world()
     endpoint_starts: list[float] = []
     watch = world._watch
--- a/src/ferryledge/leases/tests/test_slow_streams.py
+++ b/src/ferryledge/leases/tests/test_slow_streams.py
@@ -1,8 +1,7 @@
-"""Streams that are slow, not silent, are not opened anew without end.
+"""Streams that are slow but not silent are seldom replaced.
 
-Configurations filled the links of entries for seconds. Answers came after up
-to a second; agents took the streams for silent and opened new ones, each of
-them a handshake over the same link, and all of them given up again.
+Guards against agents that take slow answers over a busy link for silence and
+add to its load with the handshakes of ever new streams.
 """
 
 import collections
@@ -18,11 +17,11 @@
 
 _STEP_S = 0.01
 _ASK_S = 0.2
-_SECONDS = 10.0
+_DURATION_S = 10.0
 
 
 class _Agent:
-    """Asks one entry, whose answers take as long as they are told to."""
+    """Sends requests to one entry, whose answers take a given time."""
 
     def __init__(self) -> None:
         self.actions: list[object] = []
@@ -33,14 +32,14 @@
             self.actions.append,
         )
         self.owner = self.owners.join(0.0, "entry-0", "entry-0.1")
-        self._coming: collections.deque[tuple[float, int]] = (
+        self._answers_due: collections.deque[tuple[float, int]] = (
             collections.deque()
         )
         self._now = 0.0
         self._ask_at = 0.0
 
     def run(self, seconds: float, answer_s: float) -> int:
-        """Return how many new streams were tried."""
+        """Run for some seconds and return the number of new streams."""
         before = self.tries
         until = self._now + seconds
         while self._now < until:
@@ -50,7 +49,8 @@
     @property
     def tries(self) -> int:
         return sum(
-            isinstance(one, _agent_events.ReopenStream) for one in self.actions
+            isinstance(action, _agent_events.ReopenStream)
+            for action in self.actions
         )
 
     def _step(self, answer_s: float) -> None:
@@ -59,29 +59,31 @@
         if self._now >= self._ask_at:
             self._ask_at = self._now + _ASK_S
             ask = self.owners.ask(self.owner, self._now, True, False)
-            self._coming.append((self._now + answer_s, ask.number))
-        while self._coming and self._coming[0][0] <= self._now:
-            _, number = self._coming.popleft()
+            self._answers_due.append((self._now + answer_s, ask.number))
+        while self._answers_due and self._answers_due[0][0] <= self._now:
+            _, number = self._answers_due.popleft()
             self.watch.answered(self._now, self.owner, number)
         self.watch.look(self._now)
 
 
 @pytest.fixture
 def agent() -> _Agent:
-    """Return an agent whose entry answered at once for a while."""
+    """Return an agent whose entry answered quickly so far."""
     agent = _Agent()
-    assert agent.run(_SECONDS, 0.005) == 0
+    assert agent.run(_DURATION_S, 0.005) == 0
     return agent
 
 
-def test_slow_stream_is_seldom_opened_anew(agent: _Agent) -> None:
-    # Each 0.3 s it would be some thirty times.
-    assert 0 < agent.run(_SECONDS, 0.8) < 15
+def test_slow_stream_is_seldom_reopened(agent: _Agent) -> None:
+    # Without backoff it would be some thirty times.
+    assert 0 < agent.run(_DURATION_S, 0.8) < 15
 
 
-def test_silent_stream_is_opened_anew_as_soon_as_ever(agent: _Agent) -> None:
-    agent.run(_SECONDS, 0.8)
+def test_silent_stream_is_reopened_quickly_after_slow_answers(
+    agent: _Agent,
+) -> None:
+    agent.run(_DURATION_S, 0.8)
     agent.run(2.0, 0.005)
     assert agent.owner.false_alarms == 0
-    # Silence from here on: three tries before the stream is given up.
+    # The entry is silent from here on.
     assert agent.run(1.0, 100.0) >= 3
--- a/src/ferryledge/leases/tests/test_speed.py
+++ b/src/ferryledge/leases/tests/test_speed.py
@@ -1,4 +1,4 @@
-"""An endpoint's speed is told apart from guesses that are far off."""
+"""The speed of an endpoint, with run times that are estimated wrongly."""
 
 from ferryledge.leases import _speed
 
@@ -15,11 +15,11 @@
     return paces
 
 
-def _many(speed: float) -> list[_speed.RunPace]:
+def _paces_of_six_jobs(speed: float) -> list[_speed.RunPace]:
     return [pace for n in range(6) for pace in _paces(str(n), 2, speed)]
 
 
-def test_one_job_with_a_wrong_guess_makes_no_endpoint_slow() -> None:
+def test_one_job_with_a_wrong_estimate_makes_no_endpoint_slow() -> None:
     speed = _speed.EndpointSpeed()
     speed.update(0.3, _paces("large", 6, 0.3))
     assert speed.reported == 1.0
@@ -27,19 +27,19 @@
 
 def test_many_slow_jobs_make_an_endpoint_slow() -> None:
     speed = _speed.EndpointSpeed()
-    speed.update(0.3, _many(0.2))
+    speed.update(0.3, _paces_of_six_jobs(0.2))
     assert speed.reported >= _speed.SLOW_FROM
 
 
-def test_one_job_that_stands_still_makes_an_endpoint_slow() -> None:
+def test_one_stalled_job_makes_an_endpoint_slow() -> None:
     speed = _speed.EndpointSpeed()
     speed.update(0.3, _paces("still", 1, 0.0))
     assert speed.reported >= _speed.SLOW_FROM
 
 
-def test_slow_endpoint_stays_slow_until_a_run_shows_otherwise() -> None:
+def test_slow_endpoint_stays_slow_until_a_run_is_fast() -> None:
     speed = _speed.EndpointSpeed()
-    speed.update(0.3, _many(0.1))
+    speed.update(0.3, _paces_of_six_jobs(0.1))
     speed.update(0.4, [])
     assert speed.reported >= _speed.SLOW_FROM
     speed.update(0.5, _paces("trial", 1, 0.1))
