--- a/src/ferryledge/leases/_seeking.py
+++ b/src/ferryledge/leases/_agent_search.py
@@ -13,7 +13,7 @@
 from ferryledge.leases import _entry_notes
 from ferryledge.leases import _jobs
 from ferryledge.leases import _peers
-from ferryledge.leases import _placing
+from ferryledge.leases import _placement
 from ferryledge.leases import _pool
 from ferryledge import wire
 
@@ -46,7 +46,7 @@
     need: wire.Resources
 
 
-class Seeking:
+class AgentSearch:
     """Asks other entries for agents, and invites agents for them.
 
     :param name: the name of this entry
@@ -72,7 +72,7 @@
         #: When each requirement that fitted nowhere was last searched.
         self._searched_at: dict[_Requirement, float] = {}
 
-    def look(self, now: float) -> list[_entry_events.SendMessage]:
+    def search_if_few(self, now: float) -> list[_entry_events.SendMessage]:
         """Return the messages of a search if there are too few agents."""
         if self._started_at is None:
             self._started_at = now
@@ -101,7 +101,7 @@
         invitation = wire.Invite(own_address)
         return [_entry_events.SendMessage(name, invitation) for name in agents]
 
-    def seek(
+    def search_for_job(
         self, now: float, job: _jobs.Job
     ) -> tuple[bool, list[_entry_events.SendMessage]]:
         """Search endpoints for the steps of a job that fit nowhere.
@@ -118,7 +118,7 @@
         may_come = True
         messages: list[_entry_events.SendMessage] = []
         service = job.request.job_class.service
-        for step in _placing.unfit_steps(self._pool, job):
+        for step in _placement.unfit_steps(self._pool, job):
             requirement = _Requirement(service, step.label, step.need)
             searched_at = self._searched_at.get(requirement, float("-inf"))
             if now - searched_at <= _UNSATISFIED_S:
@@ -164,7 +164,7 @@
             if row.usable(now)
             and row.name not in sought.known
             and sought.service in ("", row.state.service)
-            and _placing.fits(row, step)
+            and _placement.fits(row, step)
         ]
         agents = [row.name for row in suitable[: sought.count]]
         if agents:
--- a/src/ferryledge/leases/_evidence.py
+++ b/src/ferryledge/leases/_endpoint_history.py
@@ -48,7 +48,7 @@
     is_reported: bool = False
 
 
-class Evidence:
+class ZoneFailureRates:
     """The failure rates of an endpoint by the availability zone of callers."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         )
         self._zones.clear()
 
-    def told(self, now: float) -> tuple[wire.ZoneFailures, ...]:
+    def zone_failures(self, now: float) -> tuple[wire.ZoneFailures, ...]:
         """Return the failures to report to entries.
 
         The same object is returned as long as the report does not change.
@@ -122,18 +122,18 @@
         )
 
 
-def of_zone(
-    told: abc.Iterable[wire.ZoneFailures], zone: str
+def failures_for_zone(
+    zone_failures: abc.Iterable[wire.ZoneFailures], zone: str
 ) -> wire.ZoneFailures:
     """Return the failures of an endpoint for the callers of a zone.
 
     Failures for callers of other zones do not count, unless the endpoint fails
     the callers of all known zones, and there are several.
 
-    :param told: the failures that its agent reports
+    :param zone_failures: the failures that its agent reports
     :param zone: the zone of the callers
     """
-    by_zone = {failures.zone: failures for failures in told}
+    by_zone = {failures.zone: failures for failures in zone_failures}
     no_failures = wire.ZoneFailures(zone, 0.0, 0)
     return by_zone.get(zone) or by_zone.get("") or no_failures
 
@@ -157,7 +157,7 @@
             self._down_at = now
         self._restarted |= started_anew
 
-    def note_back(self, now: float) -> float | None:
+    def note_up(self, now: float) -> float | None:
         """Record that the endpoint answers.
 
         :return: the length of the outage in seconds, or ``None`` if it was up
--- a/src/ferryledge/leases/_review.py
+++ b/src/ferryledge/leases/_late_jobs.py
@@ -25,9 +25,9 @@
     """A job without ordered runs."""
 
     number: int
-    need: _forecast.Need
+    demand: _forecast.Demand
     #: Whether it is never put back for other jobs.
-    keeps_place: bool = False
+    is_scheduled_retry: bool = False
 
 
 def review(
@@ -53,13 +53,13 @@
         queue.add(job)
         late += queue.make_room(job, largest_late)
         forecasts[job.number] = queue.forecast(job)
-    late.sort(key=lambda job: job.need.last_start)
+    late.sort(key=lambda job: job.demand.useful_start_by)
     work = queue.work
     for job in late:
-        forecast = forecaster.late(job.need, work)
+        forecast = forecaster.late(job.demand, work)
         forecasts[job.number] = forecast
         if forecast.prospect is _forecast.Prospect.LATE:
-            work += job.need.work
+            work += job.demand.work
     return forecasts
 
 
@@ -82,13 +82,15 @@
 
     def add(self, job: Waiting) -> None:
         """Add a job behind the others."""
-        self.work += job.need.work
-        if not job.keeps_place:
+        self.work += job.demand.work
+        if not job.is_scheduled_retry:
             heapq.heappush(self._largest, _heap_entry(job))
 
     def forecast(self, job: Waiting) -> _forecast.Forecast:
         """Return the forecast of the job that was added last."""
-        return self._forecaster.in_time(job.need, self.work - job.need.work)
+        return self._forecaster.forecast_on_time(
+            job.demand, self.work - job.demand.work
+        )
 
     def make_room(self, job: Waiting, largest_late: bool) -> list[Waiting]:
         """Remove jobs until the last one is in time, and return them.
@@ -98,31 +100,31 @@
         :return: the jobs to put back; only the job itself if putting others
             back does not help
         """
-        put_back: list[Waiting] = []
-        may_put_back = largest_late and self._now <= job.need.start_by
+        deferred: list[Waiting] = []
+        may_put_back = largest_late and self._now <= job.demand.start_by
         while self.forecast(job).prospect is not _IN_TIME:
             candidate = self._find_to_put_back() if may_put_back else None
-            is_limit_reached = len(put_back) == _MAX_PUT_BACK
+            is_limit_reached = len(deferred) == _MAX_PUT_BACK
             if candidate is None or candidate is job or is_limit_reached:
-                for other in put_back:
+                for other in deferred:
                     self.add(other)
                 self._remove(job)
                 return [job]
             self._remove(candidate)
-            put_back.append(candidate)
-        return put_back
+            deferred.append(candidate)
+        return deferred
 
     def _remove(self, job: Waiting) -> None:
-        if not job.keeps_place:
+        if not job.is_scheduled_retry:
             self._largest.remove(_heap_entry(job))
             heapq.heapify(self._largest)
-        self.work -= job.need.work
+        self.work -= job.demand.work
 
     def _find_to_put_back(self) -> Waiting | None:
         """Return the largest job whose late answer would still be of use."""
         late = _forecast.Prospect.LATE
         for _, _, job in heapq.nsmallest(_MAX_CANDIDATES, self._largest):
-            forecast = self._forecaster.late(job.need, self.work)
+            forecast = self._forecaster.late(job.demand, self.work)
             if forecast.prospect is late:
                 return job
         return None
@@ -130,4 +132,4 @@
 
 def _heap_entry(job: Waiting) -> tuple[float, int, Waiting]:
     """Return a heap entry that sorts jobs by work, the largest first."""
-    return (-job.need.work, job.number, job)
+    return (-job.demand.work, job.number, job)
--- a/src/ferryledge/leases/_placing.py
+++ b/src/ferryledge/leases/_placement.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
+from ferryledge.leases import _job_ranking
 from ferryledge.leases import _jobs
 from ferryledge.leases import _pool
 from ferryledge.leases import _quarantine
 from ferryledge.leases import _retry_budget
 from ferryledge.leases import _timing
-from ferryledge.leases import _turns
 from ferryledge import placement
 from ferryledge import wire
 
@@ -49,16 +49,16 @@
     return int.from_bytes(hashlib.blake2b(text, digest_size=2).digest())
 
 
-class Placing:
+class Placer:
     """Chooses endpoints for waiting tasks.
 
     :param name: the name of this entry
     :param pool: the agents that this entry knows
     :param run_times: the learned run times and speeds
-    :param far_factor: factor by which a task takes longer on an endpoint that
-        is not near its data
-    :param turns: the order of waiting jobs
-    :param retries: limits how many failed tasks are started again
+    :param remote_factor: factor by which a task takes longer on an endpoint
+        that is not near its data
+    :param ranking: the order of waiting jobs
+    :param retry_budget: limits how many failed tasks are started again
     """
 
     def __init__(
@@ -66,22 +66,25 @@
         name: str,
         pool: _pool.Pool,
         run_times: placement.RunTimes,
-        far_factor: float,
-        turns: _turns.Turns,
-        retries: _retry_budget.RetryBudget,
+        remote_factor: float,
+        ranking: _job_ranking.JobRanking,
+        retry_budget: _retry_budget.RetryBudget,
     ) -> None:
         self._name = name
         self._pool = pool
         self._run_times = run_times
-        self._far_factor = far_factor
-        self._turns = turns
-        self._retries = retries
+        self._remote_factor = remote_factor
+        self._job_ranking = ranking
+        self._retries = retry_budget
         #: Shares of the capacity to use, for endpoints that flap.
         self._usable_shares: dict[str, float] = {}
         self._ranks: dict[str, int] = {}
 
     def place(
-        self, now: float, jobs: abc.Iterable[_jobs.Job], gap_s: float = 0.0
+        self,
+        now: float,
+        jobs: abc.Iterable[_jobs.Job],
+        start_interval_s: float = 0.0,
     ) -> abc.Iterator[Placement]:
         """Yield placements.
 
@@ -90,9 +93,10 @@
 
         :param now: monotonic seconds
         :param jobs: the jobs with waiting tasks
-        :param gap_s: expected seconds between two starts of waiting tasks
+        :param start_interval_s: expected seconds between two starts of waiting
+            tasks
         """
-        waiting = self._turns.sort(now, jobs, gap_s)
+        waiting = self._job_ranking.sort(now, jobs, start_interval_s)
         if not waiting:
             return
         open_rows = [
@@ -100,13 +104,13 @@
             for row in self._pool
             if row.usable(now) and (not row.slow or row.may_run_trial(now))
         ]
-        if self._turns.rules.damped_flaps:
-            held_back = _quarantine.held_back(self._pool)
+        if self._job_ranking.rules.damped_flaps:
+            usable_shares = _quarantine.usable_shares(self._pool)
         else:
-            held_back = {}
+            usable_shares = {}
         min_cpu = min(_smallest_cpu(job) for job in waiting)
         rows = _with_room(open_rows, min_cpu)
-        self._usable_shares = held_back
+        self._usable_shares = usable_shares
         rows.sort(key=self._order)
         for job in waiting:
             if not rows:
@@ -114,7 +118,9 @@
             _forget_avoided(job, open_rows)
             placed = False
             # A job that has waited long may use flapping endpoints fully.
-            self._usable_shares = {} if _has_waited(now, job) else held_back
+            self._usable_shares = (
+                {} if _has_waited(now, job) else usable_shares
+            )
             for chosen in self._place_job(now, job, rows):
                 placed = True
                 yield chosen
@@ -123,15 +129,21 @@
 
     def _order(self, row: _pool.AgentRow) -> tuple[bool, bool, bool, int, int]:
         slowness = 0.0
-        if self._turns.rules.fast_first:
+        if self._job_ranking.rules.fast_first:
             learned = self._run_times.slowness(row.name)
             slowness = max(learned, row.state.slowness)
         rank = self._ranks.get(row.name)
         if rank is None:
             rank = self._ranks[row.name] = _tie_break(self._name, row)
         steps = int(slowness / _SLOWNESS_STEP)
-        untrusted = row.doubted or row.name in self._usable_shares
-        return (untrusted, row.state.cold, not row.state.home, steps, rank)
+        untrusted = row.is_suspect or row.name in self._usable_shares
+        return (
+            untrusted,
+            row.state.cold,
+            not row.state.is_primary,
+            steps,
+            rank,
+        )
 
     def _place_job(
         self, now: float, job: _jobs.Job, rows: list[_pool.AgentRow]
@@ -147,7 +159,7 @@
                 # other run is lost, and the cause is unambiguous.
                 candidates = sorted(candidates, key=_is_busy)
             if any(task.failures for task in tasks):
-                suspect_zones = _quarantine.doubted_zones(self._pool)
+                suspect_zones = _quarantine.suspect_zones(self._pool)
                 candidates = sorted(
                     candidates, key=lambda row: row.zone in suspect_zones
                 )
@@ -164,7 +176,7 @@
 
     def _retries_left(self, now: float) -> int:
         """Return how many failed tasks may be started again now."""
-        if not self._turns.rules.retry_budget:
+        if not self._job_ranking.rules.retry_budget:
             return sys.maxsize
         return self._retries.available(now)
 
@@ -185,7 +197,7 @@
         near = [row for row in rows if step.near in row.state.labels]
         far = [row for row in rows if step.near not in row.state.labels]
         far_in_time = (
-            now + job.expected_s * self._far_factor < job.objective_at
+            now + job.expected_s * self._remote_factor < job.objective_at
         )
         if far_in_time or now > job.start_by:
             return near + far
@@ -217,7 +229,7 @@
         if left_s and job.expected_s * _timing.RUN_MARGIN > left_s:
             return []
         limit = step.max_per_endpoint or len(tasks)
-        room = _quarantine.room_of(
+        room = _quarantine.usable_room(
             row, self._usable_shares.get(row.name, 1.0), limit
         )
         free = room.free
@@ -248,7 +260,7 @@
     :param max_retries: the most tasks to yield that have failed before
     """
     for task in tasks:
-        if row.name in task.avoid:
+        if row.name in task.avoided_agents:
             continue
         if task.failures:
             if not max_retries:
@@ -283,13 +295,13 @@
 
 def _forget_avoided(job: _jobs.Job, rows: list[_pool.AgentRow]) -> None:
     """Clear the list of avoided endpoints of tasks that avoid all of them."""
-    avoiding = [task for task in job.startable() if task.avoid]
+    avoiding = [task for task in job.startable() if task.avoided_agents]
     if not avoiding:
         return
     names = {row.name for row in rows}
     for task in avoiding:
-        if names and names <= task.avoid:
-            task.avoid.clear()
+        if names and names <= task.avoided_agents:
+            task.avoided_agents.clear()
 
 
 def unfit_steps(
@@ -302,7 +314,7 @@
             yield step
 
 
-def is_unfit(pool: _pool.Pool, job: _jobs.Job) -> bool:
+def is_infeasible(pool: _pool.Pool, job: _jobs.Job) -> bool:
     """Return whether some step of a job fits no known endpoint."""
     return next(unfit_steps(pool, job), None) is not None
 
--- a/src/ferryledge/leases/_pool.py
+++ b/src/ferryledge/leases/_pool.py
@@ -55,11 +55,11 @@
     #: Whether the health judge lets its endpoint take work.
     healthy: bool = True
     #: Whether its next task is a probe, whose end decides on its health.
-    on_trial: bool = False
+    awaits_probe: bool = False
     #: Failure rate that its agent reports for callers of this zone.
     reported_failure_rate: float = 0.0
     #: Whether its failure rate for callers of this zone is high.
-    doubted: bool = False
+    is_suspect: bool = False
     #: Whether its zone takes no new work.
     cordoned: bool = False
     #: When a trial run was last ordered there while it was slow.
@@ -79,7 +79,10 @@
 
         A cold endpoint is expected to be slow.
         """
-        return self.state.slowness >= _speed.SLOW_FROM and not self.state.cold
+        return (
+            self.state.slowness >= _speed.SLOW_THRESHOLD
+            and not self.state.cold
+        )
 
     def may_run_trial(self, now: float) -> bool:
         """Return whether a slow endpoint may get a trial run."""
@@ -100,7 +103,7 @@
 
     def heard_recently(self, now: float) -> bool:
         """Return whether the agent sent a message recently."""
-        max_age_s = _RECENT_S if self.state.home else _SECONDARY_RECENT_S
+        max_age_s = _RECENT_S if self.state.is_primary else _SECONDARY_RECENT_S
         return now - self.heard_at < max_age_s
 
 
@@ -198,11 +201,11 @@
         ]
 
     def _silence_s(self, row: AgentRow) -> float:
-        if row.state.home or row.runs:
+        if row.state.is_primary or row.runs:
             return self._timing.silence_s
         return self._timing.far_silence_s
 
-    def over(self, now: float) -> list[AgentRow]:
+    def expired(self, now: float) -> list[AgentRow]:
         """Return the disconnected agents whose leases must have expired."""
         return [
             row
@@ -212,7 +215,7 @@
             and now - row.granted_at > self._timing.over_after_s
         ]
 
-    def forgive_silence(self, now: float) -> None:
+    def reset_silence_timers(self, now: float) -> None:
         """Restart the silence timers after a pause of this process."""
         for row in self._rows.values():
             row.heard_at = now
@@ -265,7 +268,7 @@
             return False
         return now - self._usable_at < _RECOVERY_S
 
-    def sharers(self, now: float, service: str | None = None) -> float:
+    def sharing_entries(self, now: float, service: str | None = None) -> float:
         """Return how many entries share a usable core, on average.
 
         :param now: monotonic seconds
--- a/src/ferryledge/leases/_share.py
+++ b/src/ferryledge/leases/_pool_share.py
@@ -2,18 +2,18 @@
 
 import math
 
-from ferryledge.leases import _own_link
+from ferryledge.leases import _uplink
 
 #: Time constant in seconds of the averages over started work; shorter than a
 #: burst of load.
-_SPAN_S = _own_link.SPAN_S
+_SPAN_S = _uplink.AVERAGING_S
 #: Weight of the newest order in the averages over orders.
 _NEWEST_WEIGHT = 0.05
 #: Least share of the link that is assumed to be left for orders.
 _MIN_LINK_SHARE = 0.2
 
 
-class Share:
+class PoolShare:
     """The cores that this entry's work gets while jobs wait.
 
     The entries share the pool without a coordinator. Each entry expects at
@@ -23,8 +23,8 @@
     :param link: the network link of this entry
     """
 
-    def __init__(self, link: _own_link.OwnLink | None = None) -> None:
-        self._link = link or _own_link.OwnLink()
+    def __init__(self, link: _uplink.Uplink | None = None) -> None:
+        self._link = link or _uplink.Uplink()
         self._started = 0.0
         self._tasks = 0.0
         self._bytes = 0.0
@@ -33,7 +33,7 @@
         self._order_bytes = 0.0
         self._order_work = 0.0
         #: Expected seconds between two starts of waiting tasks.
-        self.gap_s = 0.0
+        self.start_interval_s = 0.0
 
     def note_started(
         self, now: float, work: float, tasks: int, size: int = 0
@@ -74,7 +74,7 @@
             return math.inf
         order_bytes = self._bytes * self._decay(now)
         other_bytes_per_s = (
-            self._link.sent_lately(now) - order_bytes
+            self._link.recent_bytes(now) - order_bytes
         ) / _SPAN_S
         link_bytes_per_s = self._link.bytes_per_s
         left_bytes_per_s = max(
@@ -92,7 +92,7 @@
         """
         cores = self.cores(now, pool_cores, entries)
         if cores > 0.0 and self._tasks > 0.0:
-            self.gap_s = self._started / self._tasks / cores
+            self.start_interval_s = self._started / self._tasks / cores
 
     def _decay(self, now: float) -> float:
         return math.exp((self._started_at - now) / _SPAN_S)
--- a/src/ferryledge/leases/_run_tracking.py
+++ b/src/ferryledge/leases/_run_tracker.py
@@ -10,9 +10,9 @@
 from ferryledge.leases import _job_table
 from ferryledge.leases import _jobs
 from ferryledge.leases import _moving
-from ferryledge.leases import _own_link
 from ferryledge.leases import _pool
 from ferryledge.leases import _retry_budget
+from ferryledge.leases import _uplink
 from ferryledge import outcomes
 from ferryledge import placement
 from ferryledge import wire
@@ -30,14 +30,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
-class Decided:
+class DecidedJob:
     """A job with its final outcome."""
 
     job: _jobs.Job
     outcome: outcomes.JobOutcome
 
 
-class RunTracking:
+class RunTracker:
     """Orders runs at agents and handles their ends.
 
     A task is bound to an agent while it has a run there. It waits again as
@@ -46,7 +46,7 @@
     :param jobs: the jobs that this entry holds
     :param pool: the agents that this entry knows
     :param run_times: learns run times and speeds from the ends of runs
-    :param judge: judges the health of endpoints
+    :param health_tracker: judges the health of endpoints
     :param notes: logs decisions
     :param link: the network link of this entry
     :param send: sends a message to an agent
@@ -57,21 +57,21 @@
         jobs: _job_table.JobTable,
         pool: _pool.Pool,
         run_times: placement.RunTimes,
-        judge: health.HealthJudge,
+        health_tracker: health.HealthTracker,
         notes: _entry_notes.EntryNotes,
-        link: _own_link.OwnLink,
+        link: _uplink.Uplink,
         send: Send,
     ) -> None:
         self._jobs = jobs
         self._pool = pool
         self._run_times = run_times
-        self._judge = judge
+        self._health_tracker = health_tracker
         self._notes = notes
         self._link = link
         self._send = send
         self._crashes = _crashes.CrashWatch()
         #: Limits how many failed tasks are started again.
-        self.retries = _retry_budget.RetryBudget()
+        self.retry_budget = _retry_budget.RetryBudget()
 
     def order(
         self,
@@ -90,15 +90,15 @@
         """
         need = job.request.steps[tasks[0].step].need
         retried = sum(task.failures > 0 for task in tasks)
-        self.retries.note_started(now, len(tasks) - retried, retried)
+        self.retry_budget.note_started(now, len(tasks) - retried, retried)
         for task in tasks:
             job.set_state(task, _jobs.TaskState.BOUND)
             task.run += 1
             task.agent = row.name
             task.ordered_at = now
             row.runs.add((job.name, task.task_run))
-        if job.offered_at is None:
-            job.offered_at = now
+        if job.dispatched_at is None:
+            job.dispatched_at = now
         # Specs are most of what an entry sends, so compressing them relieves
         # a busy link.
         is_packed = row.packed_texts and self._link.is_busy(now)
@@ -112,7 +112,7 @@
             job.expected_s,
             row.ask_seen,
             job.pack_spec() if is_packed else b"",
-            self.less_ms(now, row),
+            self.shorten_by_ms(now, row),
         )
         row.granted_at = now
         row.ask_answered = row.ask_seen
@@ -121,23 +121,29 @@
         self._notes.ordered(now, job, row, tasks, slowness)
         if row.slow:
             row.trial_at = now
-        if not isinstance(self._judge.state(row.name), health.Healthy):
-            self._judge.probe_sent(row.name)
+        if not isinstance(
+            self._health_tracker.state(row.name), health.Healthy
+        ):
+            self._health_tracker.probe_sent(row.name)
             row.healthy = False
-            row.on_trial = False
-        return _own_link.size_of(order) + _own_link.PACKET_BYTES
+            row.awaits_probe = False
+        return _uplink.size_of(order) + _uplink.PACKET_BYTES
 
-    def less_ms(self, now: float, row: _pool.AgentRow) -> int:
+    def shorten_by_ms(self, now: float, row: _pool.AgentRow) -> int:
         """Return by how many milliseconds a grant to an agent is shortened.
 
         The runs of a job that another entry handed over must end in time
         after the last sign of life of that entry, even if this entry is lost
         meanwhile.
         """
-        signed = self._jobs.signed
-        if not signed:
+        authorised_at = self._jobs.authorised_at
+        if not authorised_at:
             return 0
-        ages = [now - signed[name] for name, _ in row.runs if name in signed]
+        ages = [
+            now - authorised_at[name]
+            for name, _ in row.runs
+            if name in authorised_at
+        ]
         return math.ceil(1000.0 * max(ages, default=0.0))
 
     def stop(self, job: _jobs.Job, tasks: list[_jobs.Task]) -> None:
@@ -168,12 +174,12 @@
         self._return_probe(row)
         self._notes.not_started(job, row, run, reason)
         if reason in _AVOID_REASONS:
-            task.avoid.add(row.name)
+            task.avoided_agents.add(row.name)
         self._jobs.drop_if_over(job)
 
     def ended(
         self, now: float, row: _pool.AgentRow, name: str, end: wire.RunEnd
-    ) -> Decided | None:
+    ) -> DecidedJob | None:
         """Handle the end of a run.
 
         :return: the outcome of the job, if this end decides it
@@ -193,13 +199,13 @@
                 decided = self._if_done(job)
             case wire.HowEnded.FAILED:
                 task.failures += 1
-                task.avoid.add(row.name)
+                task.avoided_agents.add(row.name)
                 self._judge_end(now, row, job, False)
                 decided = self._if_out_of_attempts(job, task, row)
-                if decided is None and not self.retries.available(now):
-                    self._notes.retry_waits(job, task)
+                if decided is None and not self.retry_budget.available(now):
+                    self._notes.retry_delayed(job, task)
             case wire.HowEnded.LOST if end.crashed_jobs:
-                task.avoid.add(row.name)
+                task.avoided_agents.add(row.name)
                 task.crashes.append(
                     self._crashes.note(now, row.name, name, end.crashed_jobs)
                 )
@@ -248,47 +254,48 @@
         self, now: float, row: _pool.AgentRow, job: _jobs.Job, ok: bool
     ) -> None:
         name = job.request.job_class.name
-        self._judge.ended(row.name, name, job.name, ok, now)
+        self._health_tracker.ended(row.name, name, job.name, ok, now)
         self._update_suspect(row)
         self._update_health(row, job.name)
 
     def _update_suspect(self, row: _pool.AgentRow) -> None:
         """Update whether an endpoint is suspect."""
         rate = max(
-            row.reported_failure_rate, self._judge.failure_rate(row.name)
+            row.reported_failure_rate,
+            self._health_tracker.failure_rate(row.name),
         )
-        row.doubted = rate >= _SUSPECT_RATE
+        row.is_suspect = rate >= _SUSPECT_RATE
 
     def _update_health(self, row: _pool.AgentRow, name: str = "") -> None:
         """Update whether the judge lets an endpoint take work."""
-        state = self._judge.state(row.name)
+        state = self._health_tracker.state(row.name)
         healthy = isinstance(state, health.Healthy)
         if isinstance(state, health.Probing) and not state.sent:
             return  # It stays usable for its probe.
         if healthy != row.healthy:
-            self._notes.judged(name, row, state)
+            self._notes.health_changed(name, row, state)
         row.healthy = healthy
-        row.on_trial = False
+        row.awaits_probe = False
 
     def _return_probe(self, row: _pool.AgentRow) -> None:
         """Allow another probe of an endpoint whose probe had no result."""
-        match self._judge.state(row.name):
+        match self._health_tracker.state(row.name):
             case health.Probing(sent=True):
-                self._judge.probe_lost(row.name)
+                self._health_tracker.probe_lost(row.name)
                 row.healthy = True
-                row.on_trial = True
+                row.awaits_probe = True
             case _:
                 pass
 
-    def probe(self, now: float) -> None:
+    def start_due_probes(self, now: float) -> None:
         """Allow a probe of each endpoint whose ejection time is over."""
-        for name in self._judge.probes_due(now):
+        for name in self._health_tracker.probes_due(now):
             row = self._pool.find(name)
             if row is not None:
                 row.healthy = True
-                row.on_trial = True
+                row.awaits_probe = True
 
-    def hear(
+    def update_zone_failures(
         self, now: float, row: _pool.AgentRow, zone_failures: wire.ZoneFailures
     ) -> None:
         """Update the failures of an endpoint in runs of all entries.
@@ -298,43 +305,43 @@
         :param zone_failures: the failures of callers in the zone of this entry
         """
         row.reported_failure_rate = zone_failures.rate
-        self._judge.told(
+        self._health_tracker.told(
             row.name, zone_failures.rate, zone_failures.failures, now
         )
         self._update_suspect(row)
         self._update_health(row)
 
-    def _if_done(self, job: _jobs.Job) -> Decided | None:
+    def _if_done(self, job: _jobs.Job) -> DecidedJob | None:
         if all(task.state is _jobs.TaskState.DONE for task in job.all_tasks):
-            return Decided(job, outcomes.Complete(()))
+            return DecidedJob(job, outcomes.Complete(()))
         return None
 
     def _if_out_of_attempts(
         self, job: _jobs.Job, task: _jobs.Task, row: _pool.AgentRow
-    ) -> Decided | None:
+    ) -> DecidedJob | None:
         if job.closed or task.failures < job.request.job_class.attempts:
             return None
         return self._failed(job, row)
 
     def _if_deadly(
         self, job: _jobs.Job, task: _jobs.Task, row: _pool.AgentRow
-    ) -> Decided | None:
+    ) -> DecidedJob | None:
         if job.closed or not self._crashes.is_deadly(job.name, task.crashes):
             return None
-        self._notes.deadly(job, task)
+        self._notes.task_abandoned(job, task)
         return self._failed(job, row)
 
-    def _failed(self, job: _jobs.Job, row: _pool.AgentRow) -> Decided:
+    def _failed(self, job: _jobs.Job, row: _pool.AgentRow) -> DecidedJob:
         origin = outcomes.Origin(outcomes.Step.RUN, row.name)
         reason = outcomes.Reason.TASK_FAILED
-        return Decided(job, outcomes.FailedMayHaveRun(reason, origin))
+        return DecidedJob(job, outcomes.FailedMayHaveRun(reason, origin))
 
-    def held(
+    def reconcile(
         self,
         now: float,
         row: _pool.AgentRow,
         runs: tuple[wire.HeldRun, ...],
-    ) -> list[Decided]:
+    ) -> list[DecidedJob]:
         """Reconcile the runs that an agent holds with those ordered there.
 
         Ordered runs that the agent does not hold are lost. Runs that it holds
@@ -371,7 +378,7 @@
         if claimed:
             self._send(row.name, wire.ClaimRuns(tuple(claimed)))
 
-    def late(self, now: float, runs: tuple[wire.LateRun, ...]) -> None:
+    def move_late(self, now: float, runs: tuple[wire.LateRun, ...]) -> None:
         """Restart late runs on other endpoints where that helps."""
         for late_run in runs:
             job = self._jobs.find(late_run.job)
@@ -380,6 +387,6 @@
                 continue
             if _moving.is_worth_moving(now, job, task, late_run, self._pool):
                 task.moves += 1
-                task.avoid.add(task.agent)
+                task.avoided_agents.add(task.agent)
                 self._notes.moved(job, task, late_run)
                 self.stop(job, [task])
--- a/src/ferryledge/leases/_runs.py
+++ b/src/ferryledge/leases/_runs.py
@@ -67,14 +67,14 @@
     #: The number of stops that were sent.
     stops_sent: int = 0
     #: The reason to report for its release if it never started.
-    release: wire.NotStarted | None = None
+    release_reason: wire.NotStarted | None = None
     #: Whether the endpoint has listed it since its start.
     listed: bool = False
     #: Its progress; none if its expected run time is unknown.
-    pace: _speed.RunPace | None = None
+    progress: _speed.RunProgress | None = None
 
     @property
-    def may_run(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether the endpoint confirmed its start."""
         return self.confirmed_at is not None
 
--- a/src/ferryledge/leases/_speed.py
+++ b/src/ferryledge/leases/_speed.py
@@ -29,10 +29,10 @@
 #: Largest slowness of an endpoint, even if all its runs are stalled.
 MAX_SLOWNESS = 50.0
 #: Slowness from which an endpoint is slow; below it is usual variation.
-SLOW_FROM = 2.0
+SLOW_THRESHOLD = 2.0
 
 
-class RunPace(msgspec.Struct):
+class RunProgress(msgspec.Struct):
     """The progress of one run."""
 
     job: str
@@ -93,41 +93,46 @@
         return 1.0 / max(self._speed, 1.0 / MAX_SLOWNESS)
 
     @property
-    def reported(self) -> float:
+    def reported_slowness(self) -> float:
         """The slowness as it is reported to entries; 1 below the threshold.
 
         It is rounded to powers of two, so that noise causes no reports.
         """
         slowness = self.slowness
-        if slowness < SLOW_FROM:
+        if slowness < SLOW_THRESHOLD:
             return 1.0
-        return max(SLOW_FROM, 2.0 ** round(math.log2(slowness)))
+        return max(SLOW_THRESHOLD, 2.0 ** round(math.log2(slowness)))
 
-    def update(self, now: float, paces: abc.Iterable[RunPace]) -> None:
+    def update(self, now: float, paces: abc.Iterable[RunProgress]) -> None:
         """Update the speed from the progress of all runs.
 
         Without samples the speed stays, so a slow endpoint is slow until
         a run shows otherwise. The runs of a job count as one sample, since
         they share the same estimate.
         """
-        by_job: dict[str, list[RunPace]] = {}
-        for pace in paces:
-            if pace.samples:
-                by_job.setdefault(pace.job, []).append(pace)
+        by_job: dict[str, list[RunProgress]] = {}
+        for progress in paces:
+            if progress.samples:
+                by_job.setdefault(progress.job, []).append(progress)
         if not by_job:
             return
         weight = _PRIOR_WEIGHT
         total = _PRIOR_WEIGHT * self._prior
         for job_paces in by_job.values():
-            all_stalled = all(pace.is_stalled(now) for pace in job_paces)
+            all_stalled = all(
+                progress.is_stalled(now) for progress in job_paces
+            )
             job_weight = _STALLED_WEIGHT if all_stalled else 1.0
             weight += job_weight
             total += job_weight * _mean_speed(job_paces)
         self._speed = total / weight
-        is_slow = self.slowness >= SLOW_FROM
+        is_slow = self.slowness >= SLOW_THRESHOLD
         self._prior = self._speed if is_slow else 1.0
 
 
-def _mean_speed(paces: list[RunPace]) -> float:
-    speeds = [min(pace.rate * pace.expected_s, _MAX_SPEED) for pace in paces]
+def _mean_speed(paces: list[RunProgress]) -> float:
+    speeds = [
+        min(progress.rate * progress.expected_s, _MAX_SPEED)
+        for progress in paces
+    ]
     return sum(speeds) / len(speeds)
--- a/src/ferryledge/leases/_states.py
+++ b/src/ferryledge/leases/_state_reports.py
@@ -14,7 +14,7 @@
 
 #: Entries that an agent keeps up to date (its primary entries). A small number
 #: keeps them from competing for the same room and bounds the reports.
-HOMES = 4
+MAX_PRIMARY_ENTRIES = 4
 #: Seconds between reports to other entries.
 SECONDARY_INTERVAL_S = 0.45
 #: Seconds between reports to a primary entry while much room is free.
@@ -29,21 +29,21 @@
 _NO_ROOM = wire.Resources()
 
 
-class Turns(msgspec.Struct):
+class ReportTurns(msgspec.Struct):
     """The order in which free room is reported to the primary entries."""
 
     free: wire.Resources = _NO_ROOM
     freed_at: float = 0.0
     turn: int = 0
 
-    def see(self, now: float, free: wire.Resources) -> None:
+    def note_free(self, now: float, free: wire.Resources) -> None:
         """Record the free room, and start a new turn if it grew."""
         if free.cpu_millis > self.free.cpu_millis:
             self.freed_at = now
             self.turn += 1
         self.free = free
 
-    def order(self, wanted_by: dict[str, float]) -> list[str]:
+    def report_order(self, wanted_by: dict[str, float]) -> list[str]:
         """Return the primary entries in the order of their reports.
 
         Entries with urgent jobs come first. Entries that are equally urgent,
@@ -60,13 +60,13 @@
 
         return sorted(names, key=key)
 
-    def shown_at(self, place: int) -> float:
+    def announce_at(self, place: int) -> float:
         """Return when to report freed room to the entry at a place."""
         return self.freed_at + STAGGER_S * place
 
 
 @functools.lru_cache(maxsize=64)
-def homes_of(agent: str, entries: tuple[str, ...]) -> list[str]:
+def primary_entries_of(agent: str, entries: tuple[str, ...]) -> list[str]:
     """Return the entries that an agent keeps up to date.
 
     Entries and agents compute the same result if they know the same entries.
@@ -75,7 +75,7 @@
     :param agent: the name of the agent
     :param entries: the sorted names of the connected entries
     """
-    return placement.rank(agent, entries)[:HOMES]
+    return placement.rank(agent, entries)[:MAX_PRIMARY_ENTRIES]
 
 
 def _is_plenty(state: wire.EndpointState) -> bool:
@@ -83,7 +83,7 @@
     return free >= _PLENTY_SHARE * state.capacity.cpu_millis
 
 
-def but_room(state: wire.EndpointState) -> tuple[object, ...]:
+def state_without_free(state: wire.EndpointState) -> tuple[object, ...]:
     """Return the fields whose changes are reported at once."""
     return (
         state.incarnation,
@@ -92,7 +92,7 @@
         state.accepting,
         state.remaining_s,
         state.slowness,
-        state.home,
+        state.is_primary,
         state.entries,
         state.cold,
         state.failing,
@@ -104,7 +104,7 @@
     told: wire.EndpointState | None,
     told_at: float,
     state: wire.EndpointState,
-    shown_at: float | None,
+    announce_at: float | None,
 ) -> float:
     """Return when a report to an entry is due; infinite if never.
 
@@ -115,17 +115,17 @@
         entry assumes since then; none if nothing was reported
     :param told_at: when that was, in monotonic seconds
     :param state: the state of the endpoint now
-    :param shown_at: when to announce free room to the entry, in monotonic
+    :param announce_at: when to announce free room to the entry, in monotonic
         seconds; none if it is not a primary entry
     """
     if state == told:
         return float("inf")
-    if told is None or but_room(told) != but_room(state):
+    if told is None or state_without_free(told) != state_without_free(state):
         return told_at
-    if shown_at is None:
+    if announce_at is None:
         return told_at + SECONDARY_INTERVAL_S
     if _is_plenty(told) and _is_plenty(state):
         return told_at + PLENTY_INTERVAL_S
     if state.free.cpu_millis > told.free.cpu_millis:
-        return max(told_at + SCARCE_INTERVAL_S, shown_at)
+        return max(told_at + SCARCE_INTERVAL_S, announce_at)
     return told_at + SCARCE_INTERVAL_S
--- a/src/ferryledge/leases/_wanting.py
+++ b/src/ferryledge/leases/_urgency_reports.py
@@ -3,8 +3,8 @@
 from collections import abc
 import dataclasses
 
-from ferryledge.leases import _own_link
 from ferryledge.leases import _pool
+from ferryledge.leases import _uplink
 from ferryledge import wire
 
 #: Least seconds between two rounds of reports; placements in between share a
@@ -19,45 +19,48 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Wanting:
+class UrgencyReports:
     """The last reports to agents, and when the next ones are due."""
 
     #: The network link of this entry.
-    link: _own_link.OwnLink = dataclasses.field(
-        default_factory=_own_link.OwnLink
-    )
+    link: _uplink.Uplink = dataclasses.field(default_factory=_uplink.Uplink)
     #: The last reported turn of the first waiting job; none if none waited.
-    told_by: float | None = None
-    told_at: float = float("-inf")
+    reported_deadline: float | None = None
+    reported_at: float = float("-inf")
     #: The number of agents that the last report went to.
-    told: int = 0
+    reported_agents: int = 0
 
-    def due_at(self, turn_at: float | None) -> float:
+    def due_at(self, virtual_deadline: float | None) -> float:
         """Return when the next report is due; infinite if nothing changed.
 
-        :param turn_at: the turn of the first waiting job; none if none waits
+        :param virtual_deadline: that of the most urgent waiting job; none if
+            no job waits
         """
-        if turn_at is None or self.told_by is None:
-            is_same = turn_at is self.told_by
+        if virtual_deadline is None or self.reported_deadline is None:
+            is_same = virtual_deadline is self.reported_deadline
         else:
-            is_same = abs(turn_at - self.told_by) < _MIN_CHANGE_S
+            is_same = (
+                abs(virtual_deadline - self.reported_deadline) < _MIN_CHANGE_S
+            )
         # On a narrow link, reports must not delay orders.
-        size = self.told * _own_link.PACKET_BYTES
+        size = self.reported_agents * _uplink.PACKET_BYTES
         link_s = size / (_MAX_LINK_SHARE * self.link.bytes_per_s)
         interval_s = max(
-            _MIN_INTERVAL_S, self.told / _MAX_REPORTS_PER_S, link_s
+            _MIN_INTERVAL_S, self.reported_agents / _MAX_REPORTS_PER_S, link_s
         )
-        return float("inf") if is_same else self.told_at + interval_s
+        return float("inf") if is_same else self.reported_at + interval_s
 
     def make_reports(
-        self, now: float, turn_at: float | None, pool: _pool.Pool
+        self, now: float, virtual_deadline: float | None, pool: _pool.Pool
     ) -> abc.Iterator[tuple[_pool.AgentRow, wire.RoomWanted]]:
         """Yield the agents to report to, with the reports."""
-        self.told_by = turn_at
-        self.told_at = now
-        self.told = 0
-        start_by_s = None if turn_at is None else turn_at - now
+        self.reported_deadline = virtual_deadline
+        self.reported_at = now
+        self.reported_agents = 0
+        start_by_s = (
+            None if virtual_deadline is None else virtual_deadline - now
+        )
         for row in pool:
-            if row.connected and row.reconciled and row.state.home:
-                self.told += 1
+            if row.connected and row.reconciled and row.state.is_primary:
+                self.reported_agents += 1
                 yield row, wire.RoomWanted(start_by_s)
--- a/src/ferryledge/leases/tests/test_review.py
+++ b/src/ferryledge/leases/tests/test_late_jobs.py
@@ -2,28 +2,31 @@
 
 from ferryledge.leases import _arrivals
 from ferryledge.leases import _forecast
-from ferryledge.leases import _review
+from ferryledge.leases import _late_jobs
 
 _NOW = 100.0
 _IN_TIME = _forecast.Prospect.IN_TIME
 _LATE = _forecast.Prospect.LATE
-_IN_VAIN = _forecast.Prospect.IN_VAIN
+_TOO_LATE = _forecast.Prospect.TOO_LATE
 
 
 def _prospects(
-    *needs: _forecast.Need, ahead: float = 0.0
+    *needs: _forecast.Demand, ahead: float = 0.0
 ) -> list[_forecast.Prospect]:
-    room = _forecast.Room(10.0)
+    room = _forecast.AvailableCapacity(10.0)
     forecaster = _forecast.Forecaster(_NOW, room, _arrivals.Inflow())
-    jobs = [_review.Waiting(number, need) for number, need in enumerate(needs)]
-    forecasts = _review.review(_NOW, forecaster, jobs, ahead)
+    jobs = [
+        _late_jobs.Waiting(number, demand)
+        for number, demand in enumerate(needs)
+    ]
+    forecasts = _late_jobs.review(_NOW, forecaster, jobs, ahead)
     return [forecasts[number].prospect for number in range(len(needs))]
 
 
 def _need(
     work: float, slack_s: float, useful_s: float = 9.0
-) -> _forecast.Need:
-    return _forecast.Need(work, 0.5, _NOW + slack_s, _NOW + useful_s)
+) -> _forecast.Demand:
+    return _forecast.Demand(work, 0.5, _NOW + slack_s, _NOW + useful_s)
 
 
 def test_jobs_are_in_time_with_enough_room() -> None:
@@ -52,7 +55,7 @@
 def test_late_jobs_are_ordered_by_their_last_useful_start() -> None:
     sooner = _need(4.0, -0.1, useful_s=1.0)
     later = _need(4.0, -0.1, useful_s=1.2)
-    assert _prospects(later, sooner) == [_IN_VAIN, _LATE]
+    assert _prospects(later, sooner) == [_TOO_LATE, _LATE]
 
 
 def test_started_jobs_are_placed_first() -> None:
