--- a/src/ferryledge/leases/_agent_search.py
+++ b/src/ferryledge/leases/_agent_search.py
@@ -18,14 +18,14 @@
 from ferryledge import wire
 
 #: Agents below which an entry asks for more. With fewer, a burst at the entry
-#: can't use the room of the pool.
+#: can't use the capacity of the pool.
 MIN_AGENTS = 16
 #: Seconds between searches for more agents; shorter than invited agents stay.
 _INTERVAL_S = 5.0
 #: Seconds after its start in which an entry waits for agents to connect.
 _STARTUP_S = 3.0
-#: Seconds within which an invited agent connects and reports its room: a round
-#: trip to another entry, one to its agent, and a handshake.
+#: Seconds within which an invited agent connects and reports its state: a
+#: round trip to another entry, one to its agent, and a handshake.
 _ARRIVE_S = 0.25
 #: Seconds after a search in which the same requirement isn't searched again.
 _UNSATISFIED_S = 5.0
@@ -118,7 +118,7 @@
         may_come = True
         messages: list[_entry_events.SendMessage] = []
         service = job.request.job_class.service
-        for step in _placement.unfit_steps(self._pool, job):
+        for step in _placement.infeasible_steps(self._pool, job):
             requirement = _Requirement(service, step.label, step.need)
             searched_at = self._searched_at.get(requirement, float("-inf"))
             if now - searched_at <= _UNSATISFIED_S:
@@ -164,7 +164,7 @@
             if row.usable(now)
             and row.name not in sought.known
             and sought.service in ("", row.state.service)
-            and _placement.fits(row, step)
+            and _placement.could_run(row, step)
         ]
         agents = [row.name for row in suitable[: sought.count]]
         if agents:
--- a/src/ferryledge/leases/_late_jobs.py
+++ b/src/ferryledge/leases/_late_jobs.py
@@ -2,9 +2,9 @@
 
 If jobs were placed by their latest start alone, all of them would become late
 at about the same time during a burst. Instead, where a job would be late, the
-largest job up to it is put back behind all jobs that can be in time, provided
-that its answer is still of use then. This follows the Moore-Hodgson algorithm,
-which minimizes the number of late jobs.
+largest job up to it is deferred behind all jobs that can still be on time,
+provided that its answer is of use then. This follows the Moore-Hodgson
+algorithm, which minimizes the number of late jobs.
 """
 
 from collections import abc
@@ -15,25 +15,25 @@
 from ferryledge.leases import _forecast
 
 _IN_TIME = _forecast.Prospect.IN_TIME
-#: Most candidates that are considered for each job to put back.
+#: Most candidates that are considered for each job to defer.
 _MAX_CANDIDATES = 4
-#: Most jobs that are put back for one job.
-_MAX_PUT_BACK = 4
+#: Most jobs that are deferred for one job.
+_MAX_DEFERRED = 4
 
 
-class Waiting(msgspec.Struct, frozen=True):
-    """A job without ordered runs."""
+class WaitingJob(msgspec.Struct, frozen=True):
+    """A waiting job that was not dispatched yet."""
 
     number: int
     demand: _forecast.Demand
-    #: Whether it is never put back for other jobs.
+    #: Whether it is a retry at a scheduled time, which is not deferred.
     is_scheduled_retry: bool = False
 
 
-def review(
+def forecast_jobs(
     now: float,
     forecaster: _forecast.Forecaster,
-    jobs: abc.Iterable[Waiting],
+    jobs: abc.Iterable[WaitingJob],
     ahead: float,
     largest_late: bool = True,
 ) -> dict[int, _forecast.Forecast]:
@@ -41,17 +41,17 @@
 
     :param now: monotonic seconds
     :param forecaster: the forecaster for the service
-    :param jobs: the jobs in the order of their turns
-    :param ahead: core-seconds of started jobs, which are placed first
-    :param largest_late: whether another job may be put back for a job that
+    :param jobs: the jobs in the order of their virtual deadlines
+    :param ahead: core-seconds of dispatched jobs, which are placed first
+    :param largest_late: whether other jobs may be deferred for a job that
         would be late
     """
     forecasts: dict[int, _forecast.Forecast] = {}
-    late: list[Waiting] = []
-    queue = _InTime(now, forecaster, ahead)
+    late: list[WaitingJob] = []
+    queue = _OnTimeQueue(now, forecaster, ahead)
     for job in jobs:
         queue.add(job)
-        late += queue.make_room(job, largest_late)
+        late += queue.defer_late(job, largest_late)
         forecasts[job.number] = queue.forecast(job)
     late.sort(key=lambda job: job.demand.useful_start_by)
     work = queue.work
@@ -63,8 +63,8 @@
     return forecasts
 
 
-class _InTime:
-    """The jobs that can be in time, with a heap of the largest ones.
+class _OnTimeQueue:
+    """The jobs that can be on time, with a heap of the largest ones.
 
     :param now: monotonic seconds
     :param forecaster: the forecaster for their service
@@ -76,35 +76,37 @@
     ) -> None:
         self._now = now
         self._forecaster = forecaster
-        self._largest: list[tuple[float, int, Waiting]] = []
+        self._largest: list[tuple[float, int, WaitingJob]] = []
         #: Core-seconds of these jobs and of the work before them.
         self.work = work
 
-    def add(self, job: Waiting) -> None:
+    def add(self, job: WaitingJob) -> None:
         """Add a job behind the others."""
         self.work += job.demand.work
         if not job.is_scheduled_retry:
             heapq.heappush(self._largest, _heap_entry(job))
 
-    def forecast(self, job: Waiting) -> _forecast.Forecast:
+    def forecast(self, job: WaitingJob) -> _forecast.Forecast:
         """Return the forecast of the job that was added last."""
         return self._forecaster.forecast_on_time(
             job.demand, self.work - job.demand.work
         )
 
-    def make_room(self, job: Waiting, largest_late: bool) -> list[Waiting]:
-        """Remove jobs until the last one is in time, and return them.
+    def defer_late(
+        self, job: WaitingJob, largest_late: bool
+    ) -> list[WaitingJob]:
+        """Remove jobs until the last one is on time, and return them.
 
         :param job: the job that was added last
-        :param largest_late: whether other jobs may be put back for it
-        :return: the jobs to put back; only the job itself if putting others
-            back does not help
+        :param largest_late: whether other jobs may be deferred for it
+        :return: the jobs to defer; only the job itself if deferring others
+            does not help
         """
-        deferred: list[Waiting] = []
-        may_put_back = largest_late and self._now <= job.demand.start_by
+        deferred: list[WaitingJob] = []
+        may_defer_others = largest_late and self._now <= job.demand.start_by
         while self.forecast(job).prospect is not _IN_TIME:
-            candidate = self._find_to_put_back() if may_put_back else None
-            is_limit_reached = len(deferred) == _MAX_PUT_BACK
+            candidate = self._find_to_defer() if may_defer_others else None
+            is_limit_reached = len(deferred) == _MAX_DEFERRED
             if candidate is None or candidate is job or is_limit_reached:
                 for other in deferred:
                     self.add(other)
@@ -114,13 +116,13 @@
             deferred.append(candidate)
         return deferred
 
-    def _remove(self, job: Waiting) -> None:
+    def _remove(self, job: WaitingJob) -> None:
         if not job.is_scheduled_retry:
             self._largest.remove(_heap_entry(job))
             heapq.heapify(self._largest)
         self.work -= job.demand.work
 
-    def _find_to_put_back(self) -> Waiting | None:
+    def _find_to_defer(self) -> WaitingJob | None:
         """Return the largest job whose late answer would still be of use."""
         late = _forecast.Prospect.LATE
         for _, _, job in heapq.nsmallest(_MAX_CANDIDATES, self._largest):
@@ -130,6 +132,6 @@
         return None
 
 
-def _heap_entry(job: Waiting) -> tuple[float, int, Waiting]:
+def _heap_entry(job: WaitingJob) -> tuple[float, int, WaitingJob]:
     """Return a heap entry that sorts jobs by work, the largest first."""
     return (-job.demand.work, job.number, job)
--- a/src/ferryledge/leases/_moving.py
+++ b/src/ferryledge/leases/_moving.py
@@ -44,7 +44,7 @@
         return False
     if late.left_s is not None and now + late.left_s < job.objective_at:
         return False
-    return _has_room(now, job, task, pool)
+    return _fits_elsewhere(now, job, task, pool)
 
 
 def _may_be_large(
@@ -61,7 +61,7 @@
     return now - task.ordered_at < longest_s
 
 
-def _has_room(
+def _fits_elsewhere(
     now: float, job: _jobs.Job, task: _jobs.Task, pool: _pool.Pool
 ) -> bool:
     """Return whether another usable endpoint could run a task."""
--- a/src/ferryledge/leases/_placement.py
+++ b/src/ferryledge/leases/_placement.py
@@ -76,7 +76,7 @@
         self._remote_factor = remote_factor
         self._job_ranking = ranking
         self._retries = retry_budget
-        #: Shares of the capacity to use, for endpoints that flap.
+        #: Shares of the capacity to use, for endpoints with repeated outages.
         self._usable_shares: dict[str, float] = {}
         self._ranks: dict[str, int] = {}
 
@@ -89,7 +89,7 @@
         """Yield placements.
 
         The caller orders each placement before it takes the next one, since
-        the next one depends on the room that is left.
+        the next one depends on the remaining capacity.
 
         :param now: monotonic seconds
         :param jobs: the jobs with waiting tasks
@@ -99,7 +99,7 @@
         waiting = self._job_ranking.sort(now, jobs, start_interval_s)
         if not waiting:
             return
-        open_rows = [
+        available_rows = [
             row
             for row in self._pool
             if row.usable(now) and (not row.slow or row.may_run_trial(now))
@@ -109,15 +109,15 @@
         else:
             usable_shares = {}
         min_cpu = min(_smallest_cpu(job) for job in waiting)
-        rows = _with_room(open_rows, min_cpu)
+        rows = _with_free_cpu(available_rows, min_cpu)
         self._usable_shares = usable_shares
         rows.sort(key=self._order)
         for job in waiting:
             if not rows:
                 return
-            _forget_avoided(job, open_rows)
+            _reset_avoided(job, available_rows)
             placed = False
-            # A job that has waited long may use flapping endpoints fully.
+            # A job that has waited long may use these endpoints fully.
             self._usable_shares = (
                 {} if _has_waited(now, job) else usable_shares
             )
@@ -125,7 +125,7 @@
                 placed = True
                 yield chosen
             if placed:
-                rows = _with_room(rows, min_cpu)
+                rows = _with_free_cpu(rows, min_cpu)
 
     def _order(self, row: _pool.AgentRow) -> tuple[bool, bool, bool, int, int]:
         slowness = 0.0
@@ -196,10 +196,10 @@
             return rows
         near = [row for row in rows if step.near in row.state.labels]
         far = [row for row in rows if step.near not in row.state.labels]
-        far_in_time = (
+        far_on_time = (
             now + job.expected_s * self._remote_factor < job.objective_at
         )
-        if far_in_time or now > job.start_by:
+        if far_on_time or now > job.start_by:
             return near + far
         return near
 
@@ -282,19 +282,19 @@
     return min(step.need.cpu_millis for step in job.request.steps)
 
 
-def _with_room(
+def _with_free_cpu(
     rows: list[_pool.AgentRow], cpu_millis: int
 ) -> list[_pool.AgentRow]:
-    """Return the rows with at least this much free processor time.
+    """Return the agents with at least this much free processor time.
 
-    A row without any is left out even if the tasks need none.
+    An agent without any is left out even if the tasks need none.
     """
     min_cpu = max(1, cpu_millis)
     return [row for row in rows if row.free.cpu_millis >= min_cpu]
 
 
-def _forget_avoided(job: _jobs.Job, rows: list[_pool.AgentRow]) -> None:
-    """Clear the list of avoided endpoints of tasks that avoid all of them."""
+def _reset_avoided(job: _jobs.Job, rows: list[_pool.AgentRow]) -> None:
+    """Clear the avoided agents of tasks that avoid all of them."""
     avoiding = [task for task in job.startable() if task.avoided_agents]
     if not avoiding:
         return
@@ -304,24 +304,22 @@
             task.avoided_agents.clear()
 
 
-def unfit_steps(
+def infeasible_steps(
     pool: _pool.Pool, job: _jobs.Job
 ) -> abc.Iterator[_jobs.JobStep]:
     """Yield the steps of a job that no known endpoint could ever run."""
     service = job.request.job_class.service
     for step in job.request.steps:
-        if not fits_somewhere(pool, step, service):
+        if not is_feasible(pool, step, service):
             yield step
 
 
 def is_infeasible(pool: _pool.Pool, job: _jobs.Job) -> bool:
     """Return whether some step of a job fits no known endpoint."""
-    return next(unfit_steps(pool, job), None) is not None
+    return next(infeasible_steps(pool, job), None) is not None
 
 
-def fits_somewhere(
-    pool: _pool.Pool, step: _jobs.JobStep, service: str
-) -> bool:
+def is_feasible(pool: _pool.Pool, step: _jobs.JobStep, service: str) -> bool:
     """Return whether a known endpoint could run a task of a step.
 
     Endpoints of unknown capacity or in a cordoned availability zone do not
@@ -332,12 +330,12 @@
         row.state.service == service
         and not row.cordoned
         and row.state.capacity != unknown
-        and fits(row, step)
+        and could_run(row, step)
         for row in pool
     )
 
 
-def fits(row: _pool.AgentRow, step: _jobs.JobStep) -> bool:
+def could_run(row: _pool.AgentRow, step: _jobs.JobStep) -> bool:
     """Return whether a task of a step could run on an idle endpoint."""
     has_label = not step.label or step.label in row.state.labels
     return has_label and step.need.fits_in(row.state.capacity)
--- a/src/ferryledge/leases/_pool.py
+++ b/src/ferryledge/leases/_pool.py
@@ -1,4 +1,4 @@
-"""The agents that an entry knows, and the free room of their endpoints."""
+"""The agents that an entry knows, and the capacity of their endpoints."""
 
 from collections import abc
 
@@ -52,7 +52,7 @@
     in_flight: dict[int, wire.Resources] = msgspec.field(default_factory=dict)
     #: Runs of this entry that it may hold, each with the name of its job.
     runs: set[tuple[str, wire.TaskRun]] = msgspec.field(default_factory=set)
-    #: Whether the health judge lets its endpoint take work.
+    #: Whether the health tracker lets its endpoint take work.
     healthy: bool = True
     #: Whether its next task is a probe, whose end decides on its health.
     awaits_probe: bool = False
@@ -67,7 +67,7 @@
 
     @property
     def free(self) -> wire.Resources:
-        """Free room, less what orders in flight take."""
+        """Free resources, less those of orders in flight."""
         free = self.state.free
         for need in self.in_flight.values():
             free = free.minus(need)
@@ -126,7 +126,7 @@
         self._recovered_at = float("-inf")
         self._was_usable = False
         #: Whether the last usable agents fell silent on open streams.
-        self._went_silent = False
+        self._fell_silent = False
 
     def __iter__(self) -> abc.Iterator[AgentRow]:
         return iter(list(self._rows.values()))
@@ -175,7 +175,7 @@
             del row.in_flight[number]
 
     def reserve(self, row: AgentRow, need: wire.Resources, count: int) -> int:
-        """Reserve room for an order of alike runs.
+        """Reserve resources for an order of equal runs.
 
         :return: the number of the order
         """
@@ -187,7 +187,7 @@
         """Return whether an agent's request for a grant is answered now.
 
         An agent without runs needs no grant, since each order brings one. It
-        is still answered from time to time, as a sign of life.
+        is still answered from time to time, as a keep-alive.
         """
         idle_s = now - row.answered_at
         return bool(row.runs) or idle_s >= self._timing.idle_answer_every_s
@@ -241,7 +241,7 @@
         if usable and not self._was_usable:
             self._recovered_at = now
         if self._was_usable and not usable:
-            self._went_silent = self._is_silent(now)
+            self._fell_silent = self._is_silent(now)
         self._was_usable = usable
         if usable or self._usable_at is None:
             self._usable_at = now
@@ -264,7 +264,7 @@
             return now - self._recovered_at < _SETTLE_S
         if self.all_cordoned:
             return False
-        if self._usable_at is None or self._went_silent:
+        if self._usable_at is None or self._fell_silent:
             return False
         return now - self._usable_at < _RECOVERY_S
 
--- a/src/ferryledge/leases/_pool_share.py
+++ b/src/ferryledge/leases/_pool_share.py
@@ -6,7 +6,7 @@
 
 #: Time constant in seconds of the averages over started work; shorter than a
 #: burst of load.
-_SPAN_S = _uplink.AVERAGING_S
+_AVERAGING_S = _uplink.AVERAGING_S
 #: Weight of the newest order in the averages over orders.
 _NEWEST_WEIGHT = 0.05
 #: Least share of the link that is assumed to be left for orders.
@@ -60,7 +60,7 @@
         :param pool_cores: the cores of all usable endpoints
         :param entries: the number of entries that share them, with this one
         """
-        recent_cores = self._started * self._decay(now) / _SPAN_S
+        recent_cores = self._started * self._decay(now) / _AVERAGING_S
         share = max(recent_cores, pool_cores / entries)
         return min(pool_cores, share, self._link_cores(now))
 
@@ -75,7 +75,7 @@
         order_bytes = self._bytes * self._decay(now)
         other_bytes_per_s = (
             self._link.recent_bytes(now) - order_bytes
-        ) / _SPAN_S
+        ) / _AVERAGING_S
         link_bytes_per_s = self._link.bytes_per_s
         left_bytes_per_s = max(
             _MIN_LINK_SHARE * link_bytes_per_s,
@@ -95,4 +95,4 @@
             self.start_interval_s = self._started / self._tasks / cores
 
     def _decay(self, now: float) -> float:
-        return math.exp((self._started_at - now) / _SPAN_S)
+        return math.exp((self._started_at - now) / _AVERAGING_S)
--- a/src/ferryledge/leases/_retry_budget.py
+++ b/src/ferryledge/leases/_retry_budget.py
@@ -1,8 +1,8 @@
 """Limits how many failed tasks are started again.
 
-In a pool where many tasks fail, retries would take the room of first tries.
-They are limited by a token bucket, which first tries and time refill. A task
-without a token waits.
+In a pool where many tasks fail, retries would take the capacity from first
+tries. They are limited by a token bucket, which first tries and time refill.
+A task without a token waits.
 """
 
 #: Tokens for each first try.
--- a/src/ferryledge/leases/_run_tracker.py
+++ b/src/ferryledge/leases/_run_tracker.py
@@ -46,7 +46,7 @@
     :param jobs: the jobs that this entry holds
     :param pool: the agents that this entry knows
     :param run_times: learns run times and speeds from the ends of runs
-    :param health_tracker: judges the health of endpoints
+    :param health_tracker: tracks the health of endpoints
     :param notes: logs decisions
     :param link: the network link of this entry
     :param send: sends a message to an agent
@@ -132,9 +132,8 @@
     def shorten_by_ms(self, now: float, row: _pool.AgentRow) -> int:
         """Return by how many milliseconds a grant to an agent is shortened.
 
-        The runs of a job that another entry handed over must end in time
-        after the last sign of life of that entry, even if this entry is lost
-        meanwhile.
+        The runs of an incoming handover must end in time after the last
+        authorisation by the delegator, even if this entry is lost meanwhile.
         """
         authorised_at = self._jobs.authorised_at
         if not authorised_at:
@@ -182,7 +181,7 @@
     ) -> DecidedJob | None:
         """Handle the end of a run.
 
-        :return: the outcome of the job, if this end decides it
+        :return: the job with its outcome, if this end decides it
         """
         unbound = self._unbind(row, name, end.run)
         if unbound is None:
@@ -200,7 +199,7 @@
             case wire.HowEnded.FAILED:
                 task.failures += 1
                 task.avoided_agents.add(row.name)
-                self._judge_end(now, row, job, False)
+                self._record_end(now, row, job, False)
                 decided = self._if_out_of_attempts(job, task, row)
                 if decided is None and not self.retry_budget.available(now):
                     self._notes.retry_delayed(job, task)
@@ -209,7 +208,7 @@
                 task.crashes.append(
                     self._crashes.note(now, row.name, name, end.crashed_jobs)
                 )
-                decided = self._if_deadly(job, task, row)
+                decided = self._if_crashing(job, task, row)
             case _:
                 pass
         self._jobs.drop_if_over(job)
@@ -242,7 +241,7 @@
         task: _jobs.Task,
         end: wire.RunEnd,
     ) -> None:
-        self._judge_end(now, row, job, True)
+        self._record_end(now, row, job, True)
         if row.state.cold:
             return  # The run time of a cold endpoint says little.
         step = job.request.steps[task.step]
@@ -250,7 +249,7 @@
             job.request.job_class.name, row.name, end.run_s, step.estimate_s
         )
 
-    def _judge_end(
+    def _record_end(
         self, now: float, row: _pool.AgentRow, job: _jobs.Job, ok: bool
     ) -> None:
         name = job.request.job_class.name
@@ -267,7 +266,7 @@
         row.is_suspect = rate >= _SUSPECT_RATE
 
     def _update_health(self, row: _pool.AgentRow, name: str = "") -> None:
-        """Update whether the judge lets an endpoint take work."""
+        """Update whether the health tracker lets an endpoint take work."""
         state = self._health_tracker.state(row.name)
         healthy = isinstance(state, health.Healthy)
         if isinstance(state, health.Probing) and not state.sent:
@@ -323,7 +322,7 @@
             return None
         return self._failed(job, row)
 
-    def _if_deadly(
+    def _if_crashing(
         self, job: _jobs.Job, task: _jobs.Task, row: _pool.AgentRow
     ) -> DecidedJob | None:
         if job.closed or not self._crashes.is_deadly(job.name, task.crashes):
--- a/src/ferryledge/leases/_runs.py
+++ b/src/ferryledge/leases/_runs.py
@@ -1,8 +1,8 @@
 """The runs that an agent's endpoint holds, or may hold.
 
-A run takes room from its order until its end is certain: either the endpoint
-lists the end, or it lists its runs without this one after a stop or the end of
-the lease ensured that it can no longer start.
+A run takes resources from its order until its end is certain: either the
+endpoint lists the end, or it lists its runs without this one after a stop or
+the end of the lease ensured that it can no longer start.
 """
 
 from collections import abc
--- a/src/ferryledge/leases/_scheduler.py
+++ b/src/ferryledge/leases/_scheduler.py
@@ -27,13 +27,13 @@
 
 
 class Scheduler:
-    """Orders runs of waiting jobs as the pool and the link have room.
+    """Orders runs of waiting jobs as the pool and the link have capacity.
 
     :param name: the name of this entry
     :param jobs: the jobs that this entry holds
     :param pool: the agents that this entry knows
     :param runs: orders runs
-    :param placing: chooses endpoints
+    :param placer: chooses endpoints
     :param link: the network link of this entry
     :param rng: spreads the retry delays of refused clients
     :param ranking: the order of waiting jobs
@@ -46,7 +46,7 @@
         jobs: _job_table.JobTable,
         pool: _pool.Pool,
         runs: _run_tracker.RunTracker,
-        placing: _placement.Placer,
+        placer: _placement.Placer,
         link: _uplink.Uplink,
         rng: random.Random,
         ranking: _job_ranking.JobRanking,
@@ -57,7 +57,7 @@
         self._jobs = jobs
         self._pool = pool
         self._runs = runs
-        self._placement = placing
+        self._placer = placer
         self._link = link
         self._pool_share = _pool_share.PoolShare(link)
         self._arrivals = _arrivals.Arrivals()
@@ -122,7 +122,7 @@
         undispatched = self._job_ranking.sort(
             now, self._jobs.undispatched, self._pool_share.start_interval_s
         )
-        ahead = self._started_work()
+        ahead = self._dispatched_work()
         pool_cores = self._pool.capacity_cores(now)
         self._pool_share.update(
             now, pool_cores, self._pool.sharing_entries(now)
@@ -171,11 +171,13 @@
             )
         )
         forecaster = self._forecaster(now, service)
-        forecasts = _late_jobs.review(
+        forecasts = _late_jobs.forecast_jobs(
             now,
             forecaster,
             [
-                _late_jobs.Waiting(number, job.demand, job.is_scheduled_retry)
+                _late_jobs.WaitingJob(
+                    number, job.demand, job.is_scheduled_retry
+                )
                 for number, job in enumerate(jobs)
             ],
             ahead,
@@ -198,7 +200,7 @@
     def _store_forecast(
         self, now: float, job: _jobs.Job, forecast: _forecast.Forecast
     ) -> None:
-        """Store the forecast of a job and count it as in time or as late."""
+        """Store the forecast of a job, and count whether it is deferred."""
         was_deferred = job.is_deferred
         job.forecast = forecast
         direction = was_deferred - job.is_deferred
@@ -210,9 +212,13 @@
     def _forecaster(self, now: float, service: str) -> _forecast.Forecaster:
         """Return the forecaster for the jobs of a service."""
         inflow = self._arrivals.inflow(now, service)
-        return _forecast.Forecaster(now, self._room(now, service), inflow)
+        return _forecast.Forecaster(
+            now, self._expected_capacity(now, service), inflow
+        )
 
-    def _room(self, now: float, service: str) -> _forecast.AvailableCapacity:
+    def _expected_capacity(
+        self, now: float, service: str
+    ) -> _forecast.AvailableCapacity:
         """Return the cores that this entry is expected to get."""
         link_wait_s = self._link.wait_s(now)
         pool_cores = self._pool.capacity_cores(now, service)
@@ -238,8 +244,8 @@
             link_wait_s,
         )
 
-    def _started_work(self) -> dict[str, float]:
-        """Return the waiting core-seconds of started jobs, by service."""
+    def _dispatched_work(self) -> dict[str, float]:
+        """Return the waiting core-seconds of dispatched jobs, by service."""
         work: dict[str, float] = {}
         for job in self._jobs.waiting:
             if job.is_dispatched:
@@ -252,23 +258,23 @@
         return now >= self._place_at
 
     def place(self, now: float) -> None:
-        """Order runs of waiting jobs where there is room."""
+        """Order runs of waiting jobs where there is free capacity."""
         waiting = self._jobs.waiting
         self._order_all(now, waiting)
-        left = [job for job in waiting if job.waiting]
+        still_waiting = [job for job in waiting if job.waiting]
         self._place_at = _NEVER
-        if left and not self._link.is_free(now):
-            # The jobs wait for the link, not for room: no report is needed.
+        if still_waiting and not self._link.is_free(now):
+            # The jobs wait for the link, not for agents: no report is needed.
             self._place_at = self._link.free_at(now)
             return
         if self._job_ranking.rules.urgency_reports:
             virtual_deadline = self._job_ranking.earliest_deadline(
-                now, left, self._pool_share.start_interval_s
+                now, still_waiting, self._pool_share.start_interval_s
             )
             self._report_at = self._urgency_reports.due_at(virtual_deadline)
 
     def _order_all(self, now: float, waiting: list[_jobs.Job]) -> None:
-        """Order runs where there is room, until the link is busy.
+        """Order runs where there is free capacity, until the link is busy.
 
         An order that waits at the link for longer than a grant lasts would be
         turned down, and would have to be repeated.
@@ -276,7 +282,7 @@
         if not self._link.is_free(now):
             return
         start_interval_s = self._pool_share.start_interval_s
-        for placement in self._placement.place(now, waiting, start_interval_s):
+        for placement in self._placer.place(now, waiting, start_interval_s):
             size = self._runs.order(
                 now, placement.job, placement.row, placement.tasks
             )
--- a/src/ferryledge/leases/_urgency_reports.py
+++ b/src/ferryledge/leases/_urgency_reports.py
@@ -1,4 +1,4 @@
-"""Reports to agents how urgently an entry waits for room."""
+"""Reports to agents how urgently an entry waits for free capacity."""
 
 from collections import abc
 import dataclasses
@@ -14,7 +14,7 @@
 _MAX_REPORTS_PER_S = 1000.0
 #: Largest share of the network link that reports may use.
 _MAX_LINK_SHARE = 0.1
-#: Changes of the latest start below this are not reported, in seconds.
+#: Changes of the virtual deadline below this are not reported, in seconds.
 _MIN_CHANGE_S = 0.01
 
 
@@ -24,7 +24,7 @@
 
     #: The network link of this entry.
     link: _uplink.Uplink = dataclasses.field(default_factory=_uplink.Uplink)
-    #: The last reported turn of the first waiting job; none if none waited.
+    #: The last reported virtual deadline; none if no job waited.
     reported_deadline: float | None = None
     reported_at: float = float("-inf")
     #: The number of agents that the last report went to.
@@ -53,7 +53,13 @@
     def make_reports(
         self, now: float, virtual_deadline: float | None, pool: _pool.Pool
     ) -> abc.Iterator[tuple[_pool.AgentRow, wire.RoomWanted]]:
-        """Yield the agents to report to, with the reports."""
+        """Yield the agents to report to, with the reports.
+
+        :param now: monotonic seconds
+        :param virtual_deadline: that of the most urgent waiting job; none if
+            no job waits
+        :param pool: the agents that this entry knows
+        """
         self.reported_deadline = virtual_deadline
         self.reported_at = now
         self.reported_agents = 0
--- a/src/ferryledge/leases/tests/test_slow_streams.py
+++ b/src/ferryledge/leases/tests/test_slow_streams.py
@@ -40,14 +40,14 @@
 
     def run(self, seconds: float, answer_s: float) -> int:
         """Run for some seconds and return the number of new streams."""
-        before = self.tries
+        before = self.reopened
         until = self._now + seconds
         while self._now < until:
             self._step(answer_s)
-        return self.tries - before
+        return self.reopened - before
 
     @property
-    def tries(self) -> int:
+    def reopened(self) -> int:
         return sum(
             isinstance(action, _agent_events.ReopenStream)
             for action in self.actions
