--- a/src/ferryledge/leases/_config_exchange.py
+++ b/src/ferryledge/leases/_config_exchange.py
@@ -1,10 +1,10 @@
-"""What a process that has a configuration sends to one that wants it.
+"""Transfers configurations between processes as differences.
 
-Load pattern: configurations of hundreds of kB of which a line changes, three
-times a second, to processes whose links carry one or two of them a second. A
-difference takes as much as the change; the packed whole, for those without a
-base, a fraction of the bytes. The digest of the result proves it: a
-difference that does not fit is dropped, and the whole is asked for.
+Configurations may have hundreds of kB and change several times a second by
+a line or so, while links may carry only one or two of them a second. A process
+that has a recent configuration receives the difference from it; any other
+receives the whole, compressed. The digest of the result is verified: if it
+does not match, the receiver requests the whole configuration.
 """
 
 import collections
@@ -13,38 +13,43 @@
 from ferryledge import wire
 
 _DIGEST_BYTES = 16
-#: Ends a part: lines would not do, since bodies have none.
+#: Separator of parts. Configurations are JSON without line breaks.
 _PART_END = b"}"
-#: Earlier configurations whose parts are kept as bases. Processes that are
-#: told of each need one; the others were held up for some versions.
+#: Recent configurations that are kept as bases for differences. One would do
+#: for receivers that get every version; more help those that are behind.
 _KEPT = 4
-#: Most pieces of a difference; with more the whole takes less time.
+#: Largest number of pieces in a difference; with more, sending the whole
+#: configuration is faster.
 _MOST_PIECES = 1000
 
 
 class ExchangeError(Exception):
-    """A difference doesn't fit; ask for the whole."""
+    """A difference can't be applied; the whole must be requested."""
 
 
 def split_parts(data: bytes) -> tuple[bytes, ...]:
-    """Return a configuration's parts, about one a route."""
+    """Split a configuration into parts, about one per route."""
     parts = data.split(_PART_END)
     last = parts.pop()
     return (*(part + _PART_END for part in parts), last)
 
 
 def digest_of(data: bytes) -> bytes:
-    """Return what tells one configuration from all others."""
+    """Return the digest that identifies a configuration."""
     return hashlib.blake2b(data, digest_size=_DIGEST_BYTES).digest()
 
 
 def difference(
     base: tuple[bytes, ...], parts: tuple[bytes, ...]
 ) -> tuple[tuple[wire.ConfigPiece, ...], bytes]:
-    """Return pieces that make the parts of a base, and their text.
+    """Return the difference between two configurations.
 
-    :param base: what the receiver has
-    :param parts: what it is to have
+    Each piece copies a range of parts of the base and then appends some
+    bytes of the text.
+
+    :param base: the parts that the receiver has
+    :param parts: the parts of the new configuration
+    :return: the pieces, and the text that they append
     """
     places = {part: number for number, part in enumerate(base)}
     pieces: list[wire.ConfigPiece] = []
@@ -75,7 +80,9 @@
     for piece in pieces:
         last = piece.first + piece.count
         if not 0 <= piece.first <= last <= len(base) or piece.length < 0:
-            raise ExchangeError("a difference is not of this base")
+            raise ExchangeError(
+                "configuration difference does not match its base"
+            )
         result += b"".join(base[piece.first : last])
         result += text[at : at + piece.length]
         at += piece.length
@@ -83,23 +90,23 @@
 
 
 class ConfigExchange:
-    """The newest configuration, and earlier ones as bases."""
+    """Keeps the newest configuration, and recent ones as bases."""
 
     def __init__(self) -> None:
         self._version = 0
         self._data = b""
         self._log_end = 0
         self._digest = b""
-        #: Parts by their configuration's digest, the newest last.
+        #: Parts of recent configurations by digest, the newest last.
         self._kept: collections.OrderedDict[bytes, tuple[bytes, ...]] = (
             collections.OrderedDict()
         )
-        #: Answers by the digest of their base.
+        #: Differences that lead to the newest one, by the base's digest.
         self._answers: dict[bytes, wire.ConfigDelta] = {}
 
     @property
     def version(self) -> int:
-        """The newest configuration's version; 0 is none."""
+        """The version of the newest configuration; 0 if there is none."""
         return self._version
 
     @property
@@ -109,20 +116,21 @@
 
     @property
     def log_end(self) -> int:
-        """Up to where the operators' log holds nothing newer."""
+        """The offset in the operators' log up to which it is current."""
         return self._log_end
 
     @property
     def digest(self) -> bytes:
-        """What tells it from all others; empty is none."""
+        """The digest of the newest configuration; empty if there is none."""
         return self._digest
 
     def learn(self, version: int, data: bytes, log_end: int) -> bool:
-        """Take in a configuration; an older one changes nothing.
+        """Store a configuration; ignore one that isn't newer.
 
         :param version: its version
-        :param data: as it was read
-        :param log_end: up to where the operators' log holds nothing newer
+        :param data: the configuration as it was read
+        :param log_end: the offset in the operators' log up to which it is
+            current
         :return: whether it is newer
         """
         if version <= self._version:
@@ -138,9 +146,11 @@
         return True
 
     def answer(self, base: bytes) -> wire.ConfigDelta:
-        """Return the newest one for a process that has another.
+        """Return the difference that leads to the newest configuration.
 
-        :param base: digest of that one; empty is none
+        :param base: digest of the receiver's configuration; empty if it has
+            none
+        :return: the difference, or the whole if the base is unknown here
         """
         if base not in self._answers:
             self._answers[base] = self._make(base)
@@ -168,9 +178,11 @@
         )
 
     def restore(self, delta: wire.ConfigDelta) -> bytes:
-        """Return the configuration that a difference makes.
+        """Apply a difference and return the resulting configuration.
 
-        :raises ExchangeError: if it has another base, or makes another one
+        :param delta: the difference
+        :raises ExchangeError: if its base is unknown, or if the result does
+            not have the expected digest
         """
         try:
             text = wire.unpack_bytes(delta.packed)
@@ -179,8 +191,12 @@
         if delta.base:
             base = self._kept.get(delta.base)
             if base is None:
-                raise ExchangeError("the base of a difference is not kept")
+                raise ExchangeError(
+                    "base of the configuration difference is unknown"
+                )
             text = _join(base, delta.pieces, text)
         if digest_of(text) != delta.digest:
-            raise ExchangeError("a configuration is not what was sent")
+            raise ExchangeError(
+                "digest of the configuration does not match the expected one"
+            )
         return text
--- a/src/ferryledge/leases/_config_readers.py
+++ b/src/ferryledge/leases/_config_readers.py
@@ -1,65 +1,65 @@
-"""Which agent reads configurations for an entry.
+"""Chooses the agent that reads configurations for an entry.
 
-Load pattern: as in :mod:`ferryledge.leases._config_exchange`. The store gives
-a configuration only whole. An entry whose link that would hold up for longer
-than its runs bear leaves it to an agent with a wide link, which sends what
-changed. The entry goes on looking whether there is something newer, and reads
-that by itself if the agent does not bring it.
+The store serves only whole configurations. An entry with a narrow link lets an
+agent with a wide link read them and receives the differences, see
+:mod:`ferryledge.leases._config_exchange`. The entry still polls the store for
+newer versions, and reads one itself if the agent does not deliver it in time.
 """
 
 import zlib
 
-#: Bytes of a large configuration: one of 1,500 routes.
+#: Size of a large configuration, in bytes: about 1,500 routes.
 _LARGE_BYTES = 256 * 1024
-#: Seconds that one may take of the link: half a grant.
+#: Longest time that its transfer may occupy the link, in seconds. It must be
+#: well below the lifetime of a grant, which is renewed over the same link.
 _MOST_S = 0.3
 
 
 def is_narrow(link_bytes_per_s: float) -> bool:
-    """Return whether a large configuration holds up a link for too long.
+    """Return whether a large configuration would block a link for too long.
 
-    :param link_bytes_per_s: what it carries; infinite if that is unknown
+    :param link_bytes_per_s: the link's bytes per second; infinite if unknown
     """
     return _MOST_S * link_bytes_per_s < _LARGE_BYTES
 
 
 class ConfigReaders:
-    """Chooses one agent among those that read for others.
+    """Chooses one of the agents that offer to read configurations.
 
-    :param wanted: whether this entry wants one
+    :param wanted: whether this entry needs a reader
     """
 
     def __init__(self, wanted: bool) -> None:
         self._wanted = wanted
-        #: How often each failed to bring a configuration in time.
+        #: How often each agent failed to deliver a configuration in time.
         self._failures: dict[str, int] = {}
         self._current = ""
 
     @property
     def current(self) -> str:
-        """The agent that reads for this entry; empty is none."""
+        """The agent that reads for this entry; empty if there is none."""
         return self._current
 
     def join(self, name: str) -> bool:
-        """Take in an agent that reads for others.
+        """Add an agent that offers to read configurations.
 
-        :return: whether it is to be asked from now on
+        :return: whether it was chosen as the current reader
         """
         self._failures.setdefault(name, 0)
         return not self._current and self._choose()
 
     def leave(self, name: str) -> bool:
-        """Take in that an agent's stream broke.
+        """Remove an agent whose stream broke.
 
-        :return: whether another one is to be asked from now on
+        :return: whether another agent was chosen as the current reader
         """
         self._failures.pop(name, None)
         return name == self._current and self._choose()
 
     def fail(self) -> bool:
-        """Take in that the present one missed a configuration.
+        """Count a failure of the current reader and choose again.
 
-        :return: whether another one is to be asked from now on
+        :return: whether an agent was chosen; it may be the same one
         """
         if not self._current:
             return False
@@ -70,7 +70,7 @@
         if not self._wanted or not self._failures:
             self._current = ""
             return False
-        # Alike at all entries, so that few agents read.
+        # All entries rank agents alike, so that few agents read.
         self._current = min(self._failures, key=self._rank)
         return True
 
--- a/src/ferryledge/leases/_cordons.py
+++ b/src/ferryledge/leases/_cordons.py
@@ -1,24 +1,23 @@
-"""Which availability zones take no new work.
+"""The availability zones that take no new work.
 
-Operators cordon a zone before it is taken away. Whoever starts work has to
-know within seconds, also while the store turns some processes away, so what
-one entry reads all entries and agents learn. A state is numbered by how far
-the operators' log was read for it: one that was held up on its way, or read
-from a store that is behind, neither brings a cordon back nor ends one.
+Operators cordon a zone before they take it down. Entries and agents must know
+within seconds, even while some of them can't reach the store, so the state is
+forwarded between processes. Its version is the offset up to which the
+operators' log was read: a delayed or outdated state is ignored.
 """
 
 from ferryledge import wire
 
 
 class Cordons:
-    """The newest state that this process heard of."""
+    """Keeps the newest known state of the cordoned zones."""
 
     def __init__(self) -> None:
         self._state = wire.CordonedZones()
 
     @property
     def state(self) -> wire.CordonedZones:
-        """The newest state; version 0 is none."""
+        """The newest known state; its version is 0 if there is none."""
         return self._state
 
     def covers(self, zone: str) -> bool:
@@ -26,12 +25,13 @@
         return zone in self._state.zones
 
     def learn(self, state: wire.CordonedZones) -> bool:
-        """Take in a state; an older one changes nothing.
+        """Store a state; ignore one that isn't newer.
 
-        The first one is news in any case: others may know of a cordon that
-        was taken back before this process started.
+        The first state always counts as a change: peers may still know of a
+        cordon that was lifted before this process started.
 
-        :return: whether that is news
+        :param state: the cordoned zones
+        :return: whether the cordoned zones changed
         """
         if not _is_newer(state, self._state):
             return False
@@ -40,7 +40,7 @@
         return not known.version or state.zones != known.zones
 
     def is_behind(self, state: wire.CordonedZones) -> bool:
-        """Return whether a state is older than this one, and differs."""
+        """Return whether a state is older than the known one and differs."""
         return (
             _is_newer(self._state, state) and state.zones != self._state.zones
         )
--- a/src/ferryledge/leases/_peers.py
+++ b/src/ferryledge/leases/_peers.py
@@ -1,4 +1,9 @@
-"""The other processes, and what they are told of operators' changes."""
+"""An entry's peers: streams, configurations and cordoned zones.
+
+An entry exchanges the addresses of entries, the newest configuration and the
+cordoned zones with its peers, so that a process that can't reach the store
+still learns of them.
+"""
 
 import dataclasses
 
@@ -9,15 +14,15 @@
 from ferryledge.leases import _entry_events
 from ferryledge import wire
 
-#: Seconds for which a peer may have a newer configuration before it is asked
-#: for it: mostly the store has told it here by then. A configuration of 30 kB
-#: takes a link of 2 Mbit/s for 0.12 s, so it is sent to nobody unasked.
+#: Seconds to wait for the store before a newer configuration is requested
+#: from a peer. Configurations are sent on request only, since a large one
+#: blocks a narrow link.
 _READ_ALONE_S = 0.3
-#: Seconds between signs of life to another entry. Configurations must be in
-#: force within two to three seconds, also through a peer.
+#: Seconds between keep-alive messages to another entry. They carry the version
+#: of the configuration, which must be in force within two to three seconds.
 _ALIVE_EVERY_S = 1.0
-#: Silence after which the stream to another entry is opened anew: two signs
-#: of life went missing.
+#: Seconds of silence after which the stream to another entry is closed and
+#: dialled again: two keep-alive messages are missing.
 _SILENCE_S = 2.2
 
 
@@ -27,25 +32,27 @@
 
     role: wire.Role
     heard_at: float
-    #: Whether it takes word of cordoned zones.
+    #: Whether it understands messages about cordoned zones.
     cordons: bool = False
-    #: Whether it takes differences between configurations.
+    #: Whether it understands differences between configurations.
     config_deltas: bool = False
-    #: The newest configuration that it is known to have.
+    #: The version of the newest configuration that it is known to have.
     version: int = 0
-    #: When it was asked for that last.
+    #: When the configuration was last requested from it.
     asked_at: float = float("-inf")
+    #: When the last keep-alive message was sent to it.
     told_at: float = float("-inf")
 
 
 class EntryPeers:
-    """Hands addresses, configurations and cordons on between processes.
+    """Exchanges addresses, configurations and cordons with other processes.
 
-    The store may turn this process away while it serves others: what any
-    entry reads, all learn.
+    The store may be unreachable for this process while others can read it,
+    so whatever one entry reads is forwarded to all.
 
     :param cordons: the cordoned availability zones
-    :param is_narrow: whether configurations hold up this machine's link
+    :param is_narrow: whether a large configuration would block this machine's
+        link; an agent then reads configurations for this entry
     """
 
     def __init__(
@@ -56,37 +63,41 @@
         self._readers = _config_readers.ConfigReaders(is_narrow)
         self._entries: dict[str, wire.EntryAddress] = {}
         self._peers: dict[str, _Peer] = {}
-        #: Since when some peer is known to have a newer one.
+        #: Since when some peer is known to have a newer configuration.
         self._behind_since: float | None = None
         self._actions: list[_entry_events.EntryAction] = []
 
     @property
     def version(self) -> int:
-        """The newest configuration's version; 0 is none."""
+        """The version of the newest configuration; 0 if there is none."""
         return self._exchange.version
 
     @property
     def digest(self) -> bytes:
-        """What tells that configuration from all others; empty is none."""
+        """The digest of the newest configuration; empty if there is none."""
         return self._exchange.digest
 
     @property
     def reader(self) -> str:
-        """The agent that reads configurations for this entry, or empty."""
+        """The agent that reads configurations for this entry; may be empty."""
         return self._readers.current
 
     def address_of(self, name: str) -> wire.EntryAddress | None:
-        """Return where an entry listens, or none."""
+        """Return an entry's address; ``None`` if it is unknown."""
         return self._entries.get(name)
 
     def take_actions(self) -> list[_entry_events.EntryAction]:
-        """Return what is to be done."""
+        """Return the pending actions and clear them."""
         actions = self._actions
         self._actions = []
         return actions
 
     def join(self, now: float, hello: wire.Hello) -> None:
-        """Tell a new peer what is known."""
+        """Add a new peer and send it the addresses, cordons and version.
+
+        :param now: monotonic seconds
+        :param hello: the peer's greeting
+        """
         peer = _Peer(
             hello.role,
             now,
@@ -96,26 +107,26 @@
         )
         self._peers[hello.name] = peer
         self._send(hello.name, self._list())
-        # Before the configuration, which lets an entry take jobs.
+        # Cordons go first: an entry takes jobs once it has a configuration.
         if self._cordons.state.version:
             self._tell_cordons(hello.name)
         if self.version and hello.role is wire.Role.ENTRY:
-            # The greeting may be older than what has come since.
+            # The version in the greeting may be outdated by now.
             self._send(hello.name, self._alive())
         if hello.reads_configs and self._readers.join(hello.name):
             self._ask_reader()
         elif hello.name == self.reader:
-            # It has forgotten this entry with its former stream.
+            # The agent dropped the request when its former stream closed.
             self._ask_reader()
 
     def leave(self, name: str) -> None:
-        """Note that a peer's stream broke."""
+        """Remove a peer whose stream broke."""
         self._peers.pop(name, None)
         if self._readers.leave(name):
             self._ask_reader()
 
     def miss_config(self) -> None:
-        """Ask another agent: the present one missed a configuration."""
+        """Choose another agent as reader: the current one was too slow."""
         if self._readers.fail():
             self._ask_reader()
 
@@ -124,7 +135,10 @@
         self._send(self.reader, request)
 
     def learn_entries(self, entries: tuple[wire.EntryAddress, ...]) -> None:
-        """Take in addresses; a changed one replaces the former."""
+        """Add or update addresses of entries; dial and forward the new ones.
+
+        :param entries: the addresses, known ones included
+        """
         fresh = tuple(
             one for one in entries if self._entries.get(one.name) != one
         )
@@ -132,7 +146,7 @@
             return
         self._entries.update({one.name: one for one in fresh})
         self._actions.append(_entry_events.DialEntries(fresh))
-        # Peers heard of the others when they joined.
+        # Peers were sent the known addresses when they joined.
         news = wire.EntryList(fresh)
         for peer in self._peers:
             self._send(peer, news)
@@ -140,7 +154,13 @@
     def learn_config(
         self, version: int, data: bytes, log_end: int = 0
     ) -> None:
-        """Take in a configuration; an older one changes nothing."""
+        """Apply a configuration and announce it; ignore an older one.
+
+        :param version: its version
+        :param data: the configuration as it was read
+        :param log_end: the offset in the operators' log up to which it is
+            current
+        """
         if not self._exchange.learn(version, data, log_end):
             return
         self._actions.append(_entry_events.ApplyConfig(version, data, log_end))
@@ -149,7 +169,13 @@
             self._send(name, self._alive())
 
     def take_delta(self, name: str, delta: wire.ConfigDelta) -> None:
-        """Take in how a peer's configuration differs, or ask for all."""
+        """Apply a difference between configurations.
+
+        If it can't be applied here the whole configuration is requested.
+
+        :param name: the peer that sent it
+        :param delta: the difference
+        """
         if delta.version <= self.version:
             return
         try:
@@ -161,7 +187,11 @@
         self.learn_config(delta.version, data, delta.log_end)
 
     def give_config(self, name: str, request: wire.ConfigRequest) -> None:
-        """Send an entry that asks for it the configuration, if any."""
+        """Send a peer the newest configuration, if there is one.
+
+        :param name: the peer that requests it
+        :param request: names the configuration that the peer has
+        """
         peer = self._peers.get(name)
         if not self.version or peer is None:
             return
@@ -171,13 +201,13 @@
             self._send(name, self._reply())
 
     def hear_version(self, name: str, version: int) -> None:
-        """Take in which configuration a peer has."""
+        """Record the version of a peer's configuration."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.version = version
 
     def catch_up(self, now: float) -> None:
-        """Ask a peer for a newer configuration that the store does not tell.
+        """Request a newer configuration from a peer if the store is slow.
 
         :param now: monotonic seconds
         """
@@ -192,15 +222,16 @@
             self._behind_since = now
         elif now - self._behind_since >= _READ_ALONE_S:
             self._behind_since = now
-            # In turn: one may hear nothing of this entry.
+            # Round robin: a peer may be cut off in one direction.
             name = min(newer, key=lambda one: self._peers[one].asked_at)
             self._peers[name].asked_at = now
             self._send(name, wire.ConfigRequest(self._exchange.digest))
 
     def learn_cordons(self, state: wire.CordonedZones) -> bool:
-        """Take in which zones are cordoned, and hand that on.
+        """Update the cordoned zones and forward a change to all peers.
 
-        :return: whether that is news
+        :param state: the cordoned zones
+        :return: whether the state changed
         """
         if not self._cordons.learn(state):
             return False
@@ -209,9 +240,11 @@
         return True
 
     def hear_cordons(self, name: str, state: wire.CordonedZones) -> bool:
-        """Take in what a peer says of cordoned zones, or correct it.
+        """Merge a peer's cordoned zones; send it newer ones if it is behind.
 
-        :return: whether that is news
+        :param name: the peer
+        :param state: the zones that it knows as cordoned
+        :return: whether the state changed here
         """
         if self._cordons.is_behind(state):
             self._tell_cordons(name)
@@ -223,13 +256,13 @@
             self._send(name, self._cordons.state)
 
     def heard(self, now: float, name: str) -> None:
-        """Note that a message came from a peer."""
+        """Record that a message came from a peer."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.heard_at = now
 
     def keep_alive(self, now: float) -> None:
-        """Show other entries that this one is alive; drop silent streams."""
+        """Send due keep-alive messages; close silent streams of entries."""
         for name in self.entry_names():
             peer = self._peers[name]
             if now - peer.heard_at > _SILENCE_S:
@@ -240,12 +273,12 @@
                 self._send(name, self._alive())
 
     def forgive_silence(self, now: float) -> None:
-        """Start counting silence anew: this process was paused itself."""
+        """Reset all silence timers, since this process itself was paused."""
         for peer in self._peers.values():
             peer.heard_at = now
 
     def entry_names(self) -> list[str]:
-        """Return the other entries with a stream to this one."""
+        """Return the names of the entries with a stream to this one."""
         return [
             name
             for name, peer in self._peers.items()
