--- a/src/ferryledge/leases/_handed_in.py
+++ b/src/ferryledge/leases/_handed_in.py
@@ -1,13 +1,13 @@
-"""The taker: runs jobs of other entries while it hears from them.
-
-It answers entries that are short of room. A job is taken only if all of it
-could start now, beside what waits here already; it counts like an own one
-from then on. Its runs go on only while the giver shows that it lives: the
-right counts from the sending of the ask that the giver answered, so clocks
-are never compared. It is stopped :data:`_handing_on.HEARD_WITHIN_S` after
-that; and the grants of agents that run it end sooner by the age of that ask,
-so that its runs end in the usual time after the giver's last sign also if
-this process fails meanwhile.
+"""Incoming handovers: runs jobs of other entries under a lease.
+
+This entry (the delegate) takes a job only if all of its first tasks can start
+now, in addition to the jobs that wait here; from then on it is scheduled like
+any other. It runs only while the entry that offered it (the delegator) renews
+its lease. The lease counts from the sending of the renewal request that was
+answered, so that clocks of different machines are never compared. When it
+expires the job is stopped. The grants of the agents that run the job are
+shortened by the age of that request, so that the runs end in the usual time
+after the last renewal even if this process fails in the meantime.
 """
 
 from collections import abc
@@ -24,11 +24,11 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Seconds between asks for the right to go on. A few fit into its time.
+#: Seconds between renewal requests; well below the lifetime of the lease.
 _ASK_EVERY_S = 0.1
-#: Most jobs of others that are held.
+#: Largest number of jobs of other entries that are held.
 _MOST_HELD = 200
-#: Rooms that were told and are remembered.
+#: Largest number of capacity reports that are remembered.
 _MOST_ROOMS = 200
 _NEVER = float("inf")
 
@@ -38,45 +38,46 @@
 
 
 class _Held(msgspec.Struct):
-    """A job of another entry."""
+    """A job that is held for another entry."""
 
     peer: str
-    #: The giver's incarnation.
+    #: The delegator's incarnation.
     giver: str
-    #: Of the offer.
+    #: The number of the offer.
     number: int
     job: _jobs.Job
 
 
 class _Giver(msgspec.Struct):
-    """An entry whose jobs are held."""
+    """An entry for which jobs are held."""
 
     peer: str
     incarnation: str
     next_ask_at: float
-    #: Its stream is open.
+    #: Whether its stream is open.
     connected: bool = True
-    #: Asks without an answer so far, with when they were sent, and for what.
+    #: Unanswered renewal requests by number: when each was sent, and the
+    #: offers that it lists.
     asks: dict[int, tuple[float, tuple[int, ...]]] = msgspec.field(
         default_factory=dict
     )
-    #: Results that it has not confirmed, each with the last ask before it.
+    #: Unconfirmed results, each with the number of the last request before it.
     unconfirmed: list[tuple[int, wire.JobHandled]] = msgspec.field(
         default_factory=list
     )
 
 
 class HandedIn:
-    """Takes jobs of other entries.
+    """Takes jobs of other entries and reports their results.
 
-    :param incarnation: this start of the process
-    :param jobs: the jobs that are held
-    :param room: what this entry could start
-    :param run_times: what was learned of run times
-    :param notes: what is decided
+    :param incarnation: the incarnation of this process
+    :param jobs: the jobs that this entry holds
+    :param room: the spare capacity of this entry
+    :param run_times: estimates of run times
+    :param notes: records decisions
     :param send: sends a message to an entry
-    :param take: keeps a job
-    :param drop: gives the request of a job up, by its token
+    :param take: adds a job to those that this entry runs
+    :param drop: cancels a request for a job, by its token
     """
 
     def __init__(
@@ -98,10 +99,10 @@
         self._send = send
         self._take = take
         self._drop = drop
-        #: When each room was told that an offer may name.
+        #: When each capacity report was sent, by its number.
         self._told: dict[int, float] = {}
         self._rooms = 0
-        #: By their tokens, which are below zero: clients' are above it.
+        #: Jobs by token. Tokens are negative; those of clients are positive.
         self._held: dict[int, _Held] = {}
         self._tokens = 0
         self._givers: dict[str, _Giver] = {}
@@ -113,7 +114,7 @@
 
     @property
     def due_at(self) -> float:
-        """When to look at the latest."""
+        """When to tick at the latest, in monotonic seconds."""
         if not self._held and not self._givers:
             return _NEVER
         asks = [
@@ -128,7 +129,7 @@
     # Offers.
 
     def tell_room(self, now: float, peer: str, service: str) -> None:
-        """Tell an entry what could be started for it."""
+        """Report to an entry the capacity that its jobs could use."""
         self._rooms += 1
         self._told[self._rooms] = now
         if len(self._told) > _MOST_ROOMS:
@@ -140,7 +141,7 @@
         self._send(peer, message)
 
     def offered(self, now: float, peer: str, offer: wire.OfferJob) -> None:
-        """Take a job, or decline it."""
+        """Accept or decline an offer."""
         job = self._job_of(now, offer)
         declined = self._why_not(now, offer, job)
         answer = wire.OfferAnswered(offer.giver, offer.number, declined)
@@ -153,7 +154,7 @@
     def _why_not(
         self, now: float, offer: wire.OfferJob, job: _jobs.Job | None
     ) -> wire.Declined | None:
-        """Return why an offer is not taken; none if it is."""
+        """Return why an offer is declined; ``None`` if it is accepted."""
         why = wire.Declined
         told_at = self._told.get(offer.room, -math.inf)
         if offer.taker != self._incarnation:
@@ -172,7 +173,7 @@
         return None
 
     def _job_of(self, now: float, offer: wire.OfferJob) -> _jobs.Job | None:
-        """Return the job that is offered; none if it can't be read."""
+        """Return the offered job; ``None`` if the offer is malformed."""
         try:
             spec = wire.unpack_text(offer.packed_spec)
         except wire.PackingError:
@@ -207,13 +208,13 @@
         self._jobs.signed[job.name] = told_at
         giver = self._givers.get(peer)
         if giver is None or giver.incarnation != offer.giver:
-            # A former incarnation's jobs end for want of its signs.
+            # Leases of a former incarnation expire, since nobody renews them.
             due = now + _ASK_EVERY_S
             self._givers[peer] = _Giver(peer, offer.giver, due)
         self._take(now, job)
 
     def withdrawn(self, now: float, message: wire.WithdrawJob) -> None:
-        """Stop a job that its giver does not want any more."""
+        """Stop a job that its delegator withdrew."""
         self._drop_if(
             now,
             lambda one: (
@@ -231,7 +232,7 @@
                 self._drop(now, token, held.job.name)
 
     def answer(self, token: int, outcome: outcomes.JobOutcome) -> None:
-        """Tell the giver what became of its job."""
+        """Report a job's result to its delegator."""
         held = self._held.pop(token, None)
         if held is None:
             return
@@ -247,7 +248,7 @@
     # The lease.
 
     def check(self, now: float) -> None:
-        """Stop what the right has ended for, before anything is ordered."""
+        """Stop jobs with an expired lease; call before runs are ordered."""
         if not self._held:
             return
         oldest = now - _handing_on.HEARD_WITHIN_S
@@ -258,7 +259,7 @@
         self._drop_if(now, lambda one: signed[one.job.name] <= oldest)
 
     def ask(self, now: float) -> None:
-        """Ask givers for the right to go on, where that is due."""
+        """Send the renewal requests that are due."""
         for giver in list(self._givers.values()):
             if not giver.connected or now < giver.next_ask_at:
                 continue
@@ -279,7 +280,7 @@
     def granted(
         self, now: float, peer: str, grant: wire.GrantHandedIn
     ) -> None:
-        """Take in the right to go on; stop what it does not name."""
+        """Renew the leases that a grant lists; stop the other jobs."""
         giver = self._givers.get(peer)
         if giver is None or giver.incarnation != grant.giver:
             return
@@ -303,7 +304,11 @@
         )
 
     def join(self, now: float, hello: wire.Hello) -> None:
-        """Go on with a giver whose stream is open again."""
+        """Resume with a delegator whose stream is open again.
+
+        Unconfirmed results are sent again. Jobs of a former incarnation are
+        stopped.
+        """
         giver = self._givers.get(hello.name)
         if giver is None:
             return
@@ -325,7 +330,7 @@
             self._send(hello.name, one)
 
     def leave(self, peer: str) -> None:
-        """Note that the stream to an entry broke."""
+        """Mark an entry as disconnected; its stream broke."""
         giver = self._givers.get(peer)
         if giver is not None:
             giver.connected = False
@@ -358,10 +363,10 @@
 
 
 def _handled_of(held: _Held, outcome: outcomes.JobOutcome) -> wire.JobHandled:
-    """Return what the giver is told.
+    """Return the result that is reported to the delegator.
 
-    Where this entry gave up for want of time the giver decides: it knows how
-    long its client waits.
+    If this entry gave up for lack of time, the job is reported as stopped and
+    the delegator decides: it knows how long its client waits.
     """
     how = wire.HowHandled.STOPPED
     reason = ""
--- a/src/ferryledge/leases/_handing_on.py
+++ b/src/ferryledge/leases/_handing_on.py
@@ -1,17 +1,20 @@
-"""The giver: which waiting jobs are offered to another entry, and to whom.
-
-It answers callers that crowd at some entries, and an entry whose agents are
-not there: it started, or its zones are cordoned. A job that would be late
-here is offered to an entry that told of spare room a moment ago. Nobody is
-asked, and nothing is sent, while all jobs are in time.
-
-Who waits for a job is answered here, once, so the giver has to know when the
-taker's runs are over. They go on only by this entry's signs: the offer, and
-its answers to the taker's asks, each of which names the offers that it
-counts for. The taker's right ends :data:`HEARD_WITHIN_S` after its own ask
-was sent, and its agents' grants end sooner by the age of that ask; so all
-runs are over ``LeaseTiming.over_after_s`` after the last sign, as if this
-entry had granted them. Only then the job is run here.
+"""Outgoing handovers: offers waiting jobs to other entries.
+
+Callers may overload some entries while others are idle, and an entry may have
+no usable agents because it has just started or its zones are cordoned. A job
+that would start too late here is offered to an entry (the delegate) that
+reported spare capacity a moment ago. While all jobs can start in time, no
+messages are sent.
+
+This entry (the delegator) answers the client, exactly once, so it must know
+when the delegate's runs are over. The delegate holds a lease on the job: it
+starts with the offer, and the delegator renews it by its answers to the
+delegate's renewal requests, each of which lists the offers that go on. The
+lease expires :data:`HEARD_WITHIN_S` after the delegate sent the renewed
+request, and the grants of the delegate's agents are shortened by the age of
+that request. So all runs are over ``LeaseTiming.over_after_s`` after the last
+renewal, as if this entry had granted them itself. Only then is the job run
+here.
 """
 
 from collections import abc
@@ -27,28 +30,30 @@
 from ferryledge import outcomes
 from ferryledge import wire
 
-#: Seconds for which a taker runs a job without a sign of its giver. A client
-#: repeats its job 1.3 s after its entry was lost: by then the taker has
-#: stopped it long ago, and if that fails as well the agents' grants, which
-#: never outlive the giver's last sign by more than their usual time, end it
-#: as they end the runs of an entry that was lost.
+#: Lifetime of the delegate's lease on a job, in seconds. It is far below the
+#: time after which a client whose entry is lost submits its job again. Should
+#: the delegate fail as well, the grants of its agents expire in their usual
+#: time after the last renewal.
 HEARD_WITHIN_S = 0.3
-#: Seconds after which the taker no longer stands by the room that it told.
+#: Seconds for which the delegate accepts offers for capacity it reported.
 ROOM_FOR_S = 0.1
-#: The same for the giver: an offer takes a while to arrive.
+#: Seconds for which the delegator uses reported capacity; shorter, since the
+#: offer takes time to arrive.
 _ROOM_USED_FOR_S = 0.05
-#: Entries that are asked at once. Of those that have room one of two picked
-#: by chance gets an offer, so that givers don't crowd at the emptiest.
+#: Entries that are asked for their capacity at once. The offer goes to the
+#: better of two that are chosen at random among those with enough capacity, so
+#: that delegators don't all choose the same one.
 _ASKED_AT_ONCE = 4
-#: Seconds between asks while some have room, and at most while none has.
+#: Seconds between capacity requests while some entry has capacity, and the
+#: upper bound of the backoff while none has.
 _ASK_EVERY_S = 0.04
 _ASK_SELDOM_S = 0.2
-#: Most offers of one job.
+#: Largest number of times that a job is offered.
 _MOST_OFFERS = 2
-#: Seconds that an ask, an offer and the taker's order take.
+#: Seconds that a capacity request, an offer and the delegate's order take.
 LEAD_S = 0.05
-#: Numbers that the runs of one offer stay below: an endpoint starts no run
-#: of a task whose number it has seen.
+#: Run numbers that are reserved for one offer. Runs after it must have higher
+#: numbers, since an endpoint rejects run numbers of a task that it has seen.
 _RUNS_OF_AN_OFFER = 100
 
 Send = abc.Callable[[str, wire.Message], None]
@@ -56,14 +61,14 @@
 
 
 class _Peer(msgspec.Struct, frozen=True):
-    """Another entry that takes jobs."""
+    """An entry that accepts handovers."""
 
     incarnation: str
     zone: str
 
 
 class _Room(msgspec.Struct):
-    """What an entry said that it could start."""
+    """The spare capacity that an entry reported."""
 
     number: int
     cpu_millis: int
@@ -71,30 +76,30 @@
 
 
 class Offer(msgspec.Struct):
-    """A job that another entry has, or may have."""
+    """A job that was offered to another entry, which may be running it."""
 
     number: int
     job: _jobs.Job
     peer: str
     #: The peer's incarnation.
     taker: str
-    #: When the last sign was sent that counts for it.
+    #: When the delegate's lease was last renewed, in monotonic seconds.
     signed_at: float
     accepted: bool = False
-    #: Whether it gets no sign any more.
+    #: Whether the lease is no longer renewed.
     is_given_up: bool = False
 
 
 class HandingOn:
-    """Offers jobs to other entries and waits for what becomes of them.
+    """Offers jobs to other entries, renews their leases, and takes results.
 
-    :param incarnation: this start of the process
+    :param incarnation: the incarnation of this process
     :param zone: its availability zone
-    :param timing: the lease rule
-    :param rng: picks entries
-    :param notes: what is decided
+    :param timing: the timing of leases
+    :param rng: source of randomness for the choice of entries
+    :param notes: records decisions
     :param send: sends a message to an entry
-    :param finish: answers a job
+    :param finish: answers a job's clients
     """
 
     def __init__(
@@ -123,36 +128,36 @@
 
     @property
     def takers(self) -> int:
-        """How many entries take jobs."""
+        """The number of entries that accept handovers."""
         return len(self._peers)
 
     def has_taker_outside(self, cordons: _cordons.Cordons) -> bool:
-        """Return whether some entry that takes jobs has a zone at work."""
+        """Return whether an entry outside the cordoned zones takes jobs."""
         return any(
             not cordons.covers(peer.zone) for peer in self._peers.values()
         )
 
     @property
     def offers(self) -> abc.Collection[Offer]:
-        """The jobs that are away."""
+        """The offers of all jobs that are handed over."""
         return self._offers.values()
 
     # Peers.
 
     def join(self, hello: wire.Hello) -> None:
-        """Take in an entry that has a stream to this one."""
+        """Add an entry whose stream was opened, if it accepts handovers."""
         self.leave(hello.name)
         if hello.takes_jobs and not hello.leaving:
             self._peers[hello.name] = _Peer(hello.incarnation, hello.zone)
 
     def leave(self, name: str) -> None:
-        """Offer nothing to an entry that has no stream."""
+        """Remove an entry whose stream broke."""
         self._peers.pop(name, None)
         for key in [key for key in self._rooms if key[0] == name]:
             del self._rooms[key]
 
     def hear_room(self, now: float, peer: str, room: wire.RoomTold) -> None:
-        """Take in what an entry could start."""
+        """Store the spare capacity that an entry reported."""
         heard = _Room(room.number, room.cpu_millis, now)
         self._rooms[peer, room.service] = heard
         if room.cpu_millis:
@@ -161,10 +166,10 @@
     # Offers.
 
     def plan(self, now: float, late: abc.Sequence[_jobs.Job]) -> None:
-        """Offer jobs, or ask for room to be able to.
+        """Offer jobs, and ask for the capacity that is missing.
 
         :param now: monotonic seconds
-        :param late: those that would start too late here
+        :param late: jobs that would start too late here, most urgent first
         """
         asked = set()
         for job in late:
@@ -180,7 +185,7 @@
             self._ask(now, sorted(asked))
 
     def _pick(self, now: float, service: str, cpu_millis: int) -> str | None:
-        """Return an entry with room for a job, or none."""
+        """Return an entry with capacity for a job; ``None`` without one."""
         fitting = [
             name
             for name, peer in self._peers.items()
@@ -197,14 +202,14 @@
 
     def _ask(self, now: float, services: list[str]) -> None:
         self._asked_at = now
-        # Until one answers that it has room.
+        # Back off until an entry reports capacity.
         self._ask_every_s = min(_ASK_SELDOM_S, 2.0 * self._ask_every_s)
         for name in self._asked_now():
             for service in services:
                 self._send(name, wire.AskRoom(service))
 
     def _asked_now(self) -> list[str]:
-        """Return the entries to ask, half of them of the own zone."""
+        """Return the entries to ask, half of them in this entry's zone."""
         names = list(self._peers)
         self._rng.shuffle(names)
         own = [one for one in names if self._peers[one].zone == self._zone]
@@ -224,7 +229,7 @@
         message = _offer_of(now, offer, self._incarnation, room.number)
         job.is_away = True
         job.offers += 1
-        # From now on it may have run.
+        # From now on the job counts as possibly run.
         job.offered_at = now
         self._notes.offered(now, job, name, room.cpu_millis, room.heard_at)
         self._send(name, message)
@@ -232,7 +237,7 @@
     def answered(
         self, now: float, peer: str, answer: wire.OfferAnswered
     ) -> None:
-        """Take in whether an offer is taken."""
+        """Handle the answer to an offer."""
         offer = self._find(peer, answer.giver, answer.number)
         if offer is None:
             return
@@ -245,7 +250,7 @@
         self._return_untried(offer)
 
     def handled(self, now: float, peer: str, handled: wire.JobHandled) -> None:
-        """Take in what became of a job."""
+        """Handle the result of a job that was handed over."""
         offer = self._find(peer, handled.giver, handled.number)
         if offer is None:
             self._notes.result_dropped(peer, handled)
@@ -274,12 +279,12 @@
         offer.job.is_away = False
 
     def _return_untried(self, offer: Offer) -> None:
-        """Take a job back that was not run."""
+        """Take back a job of which no task was run."""
         self._bring_back(offer)
         offer.job.offered_at = None
 
     def withdraw(self, job: _jobs.Job) -> None:
-        """Have the runs of a job stopped that nobody waits for."""
+        """Have the delegate stop a job that no client waits for."""
         for offer in self._offers.values():
             if offer.job is job and not offer.is_given_up:
                 offer.is_given_up = True
@@ -289,7 +294,7 @@
     # The lease.
 
     def asked(self, now: float, peer: str, ask: wire.AskHandedIn) -> None:
-        """Let a taker go on with what it is still wanted for."""
+        """Renew the leases on the jobs that the delegate is to go on with."""
         if ask.giver != self._incarnation:
             return
         renewed = []
@@ -303,18 +308,19 @@
         self._send(peer, grant)
 
     def _is_lost(self, now: float, offer: Offer) -> bool:
-        """Return whether an offer gets no sign any more."""
+        """Return whether an offer's lease is no longer renewed."""
         silent = now - offer.signed_at > HEARD_WITHIN_S + ROOM_FOR_S
         return offer.is_given_up or silent
 
     def _is_over(self, now: float, offer: Offer) -> bool:
-        """Return whether none of a job's runs can be alive elsewhere."""
+        """Return whether no run of the job can be alive elsewhere."""
         return now - offer.signed_at > self._over_after_s
 
     def look(self, now: float) -> list[_jobs.Job]:
         """Take back the jobs whose runs must all be over elsewhere.
 
-        :return: them; they are to be run here, or forgotten if closed
+        :param now: monotonic seconds
+        :return: the jobs; they are run here, or dropped if they are closed
         """
         back = []
         for offer in list(self._offers.values()):
--- a/src/ferryledge/leases/_handover.py
+++ b/src/ferryledge/leases/_handover.py
@@ -1,4 +1,4 @@
-"""Both sides of handing jobs on between entries, as an entry drives them."""
+"""Handover of jobs between entries: both directions behind one interface."""
 
 import random
 
@@ -14,29 +14,29 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Share of its objective for which a job is kept that no endpoint here could
-#: run, so that another entry can take it; less than a refusal may take.
+#: Share of a job's latency objective for which a refusal is deferred, so that
+#: another entry can take the job. The refusal is still prompt after it.
 _KEPT_SHARE = 0.2
 _NEVER = float("inf")
 
 
 class Handover:
-    """Offers late jobs to other entries, and takes theirs.
+    """Offers jobs to other entries that start too late here, and takes theirs.
 
-    :param incarnation: this start of the process
+    :param incarnation: the incarnation of this process
     :param zone: its availability zone
-    :param timing: the lease rule
-    :param is_on: whether jobs are handed on at all
+    :param timing: the timing of leases
+    :param is_on: whether handovers are enabled
     :param cordons: the availability zones that take no new work
-    :param jobs: the jobs that are held
-    :param room: what this entry could start
-    :param run_times: what was learned of run times
-    :param rng: picks entries
-    :param notes: what is decided
+    :param jobs: the jobs that this entry holds
+    :param room: the spare capacity of this entry
+    :param run_times: estimates of run times
+    :param rng: source of randomness for the choice of entries
+    :param notes: records decisions
     :param send: sends a message to an entry
-    :param finish: answers a job
-    :param take: keeps a job
-    :param drop: gives the request of a job up, by its token
+    :param finish: answers a job's clients
+    :param take: adds a job to those that this entry runs
+    :param drop: cancels a request for a job, by its token
     """
 
     def __init__(
@@ -68,43 +68,46 @@
             incarnation, jobs, room, run_times, notes, send, take, drop
         )
         self._is_leaving = False
-        #: Whether to look for late jobs.
+        #: Whether the next call looks for jobs to offer.
         self._is_due = False
-        #: Jobs that would have been refused on arrival, and the refusals.
+        #: Jobs with a deferred refusal, by name.
         self._kept: dict[str, tuple[_jobs.Job, outcomes.Refused]] = {}
 
     @property
     def due_at(self) -> float:
-        """When to tick at the latest."""
+        """When to tick at the latest, in monotonic seconds."""
         return self._in.due_at
 
     @property
     def takes_jobs(self) -> bool:
-        """Whether jobs of other entries are taken."""
+        """Whether this entry accepts jobs of other entries."""
         return self._is_on
 
     # Events.
 
     def join(self, now: float, hello: wire.Hello) -> None:
-        """Take in another entry's stream."""
+        """Add an entry whose stream was opened."""
         if self._is_on:
             self._on.join(hello)
             self._in.join(now, hello)
 
     def leave(self, name: str) -> None:
-        """Note that an entry's stream broke."""
+        """Remove an entry whose stream broke."""
         self._on.leave(name)
         self._in.leave(name)
 
     def drain(self) -> None:
-        """Take no jobs any more, and hand on all that wait untried."""
+        """Accept no more jobs, and offer all that no run was ordered for."""
         self._is_leaving = True
         self._in.is_leaving = True
 
     def receive(self, now: float, peer: str, message: wire.Message) -> bool:
-        """Take in a message of another entry.
+        """Handle a message of another entry.
 
-        :return: whether there may be something to order now
+        :param now: monotonic seconds
+        :param peer: the sender
+        :param message: the message; unrelated ones are ignored
+        :return: whether a job came back that may be placed here now
         """
         if not self._is_on:
             return False
@@ -138,9 +141,11 @@
                 self._in.granted(now, peer, message)
 
     def keeps(self, job: _jobs.Job, refusal: outcomes.Refused) -> bool:
-        """Return whether a job is kept that would be refused on arrival.
+        """Defer a refusal on arrival if another entry may run the job.
 
-        Another entry may be able to run it.
+        :param job: the job that would be refused
+        :param refusal: the refusal to give if no entry takes it in time
+        :return: whether the refusal is deferred
         """
         if refusal.reason is outcomes.Reason.IMPOSSIBLE:
             return False
@@ -150,28 +155,29 @@
         return True
 
     def answer(self, token: int, outcome: outcomes.JobOutcome) -> None:
-        """Tell a giver what became of its job."""
+        """Report a job's result to its delegator."""
         self._in.answer(token, outcome)
 
     def withdraw(self, job: _jobs.Job) -> None:
-        """Have a job's runs stopped wherever it is."""
+        """Stop a job at the entry that it was handed over to, if any."""
         if job.is_away:
             self._on.withdraw(job)
 
     # Systems.
 
     def note_sweep(self) -> None:
-        """Look for late jobs at the next chance."""
+        """Look for jobs to offer in the next call of :meth:`act`."""
         self._is_due = self._on.takers > 0
 
     def check(self, now: float) -> None:
-        """Stop what may not be run any longer: before anything is ordered."""
+        """Stop jobs with an expired lease; call before runs are ordered."""
         self._in.check(now)
 
     def act(self, now: float) -> list[_jobs.Job]:
-        """Offer what is late, and keep up what was handed on.
+        """Offer jobs that would start too late here, and renew leases.
 
-        :return: jobs that are to be run here again
+        :param now: monotonic seconds
+        :return: jobs that came back from other entries, to be run here
         """
         if self._is_due:
             self._is_due = False
@@ -188,7 +194,7 @@
             self._on.plan(now, self._room.late(now, _handing_on.LEAD_S))
 
     def _refuse_kept(self, now: float) -> None:
-        """Refuse what no other entry took."""
+        """Send the deferred refusals of jobs that no entry took in time."""
         for name, (job, refusal) in list(self._kept.items()):
             if job.closed or job.is_away:
                 continue
--- a/src/ferryledge/leases/_handover_notes.py
+++ b/src/ferryledge/leases/_handover_notes.py
@@ -1,4 +1,4 @@
-"""An entry's notes on jobs that pass between entries."""
+"""Log notes of an entry about handovers."""
 
 from ferryledge.leases import _jobs
 from ferryledge.leases import _meters
@@ -8,9 +8,9 @@
 
 
 class HandoverNotes(_notes.Notes):
-    """What an entry decides about jobs of and for other entries.
+    """Records an entry's decisions about handovers.
 
-    :param meter: counts along
+    :param meter: counts each decision
     """
 
     def __init__(self, meter: _meters.EntryMeter) -> None:
@@ -25,7 +25,7 @@
         cpu_millis: int,
         heard_at: float,
     ) -> None:
-        """A job is offered to another entry."""
+        """Record that a job was offered to another entry."""
         self._meter.handover("offered")
         self.add(
             outcomes.Step.MOVE,
@@ -39,11 +39,11 @@
         )
 
     def accepted(self, now: float, job: _jobs.Job, peer: str) -> None:
-        """Another entry runs a job."""
+        """Record that another entry accepted a job."""
         self._meter.handover("accepted")
         self.add(
             outcomes.Step.MOVE,
-            "another entry took the job",
+            "another entry accepted the job",
             job.name,
             peer,
             waited_s=round(now - job.arrived_at, 3),
@@ -52,7 +52,7 @@
     def declined(
         self, now: float, job: _jobs.Job, peer: str, why: wire.Declined
     ) -> None:
-        """Another entry does not run a job."""
+        """Record that another entry declined a job."""
         self._meter.handover("declined")
         self.add(
             outcomes.Step.MOVE,
@@ -70,11 +70,11 @@
         peer: str,
         handled: wire.JobHandled,
     ) -> None:
-        """Another entry told what became of a job."""
+        """Record the result that another entry reported."""
         self._meter.handover(f"handled_{handled.how}")
         self.add(
             outcomes.Step.MOVE,
-            "another entry is done with the job",
+            "another entry reported the outcome of the job",
             job.name,
             peer,
             how=str(handled.how),
@@ -84,11 +84,11 @@
     def handed_on_lost(
         self, now: float, job: _jobs.Job, peer: str, signed_at: float
     ) -> None:
-        """Nothing is heard of a job that another entry has or may have."""
+        """Record that no renewal was requested for a job in time."""
         self._meter.handover("lost")
         self.add(
             outcomes.Step.MOVE,
-            "handed-on job lost: run here once it must be over",
+            "handed-over job lost, runs here once its lease has expired",
             job.name,
             peer,
             urgent=True,
@@ -96,11 +96,11 @@
         )
 
     def result_dropped(self, peer: str, handled: wire.JobHandled) -> None:
-        """A result came for a job that is not away any more."""
+        """Record a result that was ignored: the job isn't handed over."""
         self._meter.handover("dropped")
         self.add(
             outcomes.Step.MOVE,
-            "result of a handed-on job dropped",
+            "result of a handed-over job ignored",
             peer=peer,
             urgent=True,
             how=str(handled.how),
@@ -115,11 +115,13 @@
         declined: wire.Declined | None,
         told_at: float,
     ) -> None:
-        """An offer of another entry is taken or declined."""
+        """Record that an offer of another entry was accepted or declined."""
         self._meter.handover("turned_down" if declined else "taken")
         self.add(
             outcomes.Step.MOVE,
-            "job declined" if declined else "job taken for another entry",
+            "job of another entry declined"
+            if declined
+            else "job of another entry accepted",
             offer.job,
             peer,
             reason=str(declined or ""),
@@ -128,11 +130,11 @@
         )
 
     def giver_silent(self, job: _jobs.Job, peer: str) -> None:
-        """A job is stopped, since its entry is not heard."""
+        """Record that a job was stopped because its lease expired."""
         self._meter.handover("stopped")
         self.add(
             outcomes.Step.MOVE,
-            "stopped: the entry that handed the job on is silent",
+            "job stopped, its delegator no longer renews the lease",
             job.name,
             peer,
             urgent=True,
--- a/src/ferryledge/leases/_spare_room.py
+++ b/src/ferryledge/leases/_spare_room.py
@@ -1,7 +1,6 @@
-"""What an entry could start at once for others, and what it lacks itself.
+"""Spare capacity of an entry, and the jobs that exceed its capacity.
 
-It answers callers that crowd at some entries: these expect to be late while
-others have room that none of their own jobs waits for.
+Entries use it to hand jobs over from overloaded entries to idle ones.
 """
 
 import math
@@ -13,23 +12,23 @@
 from ferryledge.leases import _pool
 from ferryledge.leases import _turns
 
-#: Bytes that a waiting job is to take of the own link beside its spec.
+#: Bytes that a waiting job adds to the traffic of the link besides its spec.
 _JOB_BYTES = 400
 
 
 def cpu_millis_of(job: _jobs.Job) -> int:
-    """Return the thousandths of a core that a job could use at once."""
+    """Return the CPU, in thousandths of a core, that a job can use now."""
     steps = job.request.steps
     return sum(steps[one.step].need.cpu_millis for one in job.startable())
 
 
 class SpareRoom:
-    """Looks at the room of this entry.
+    """Estimates the spare capacity and the waiting times of this entry.
 
-    :param jobs: the jobs that are held
+    :param jobs: the jobs that this entry holds
     :param pool: the agents
-    :param link: this entry's own
-    :param turns: the order of waiting jobs
+    :param link: the network link of this machine
+    :param turns: the queueing order of waiting jobs
     """
 
     def __init__(
@@ -45,13 +44,14 @@
         self._turns = turns
 
     def cpu_millis(self, now: float, service: str) -> int:
-        """Return the thousandths of a core that others' jobs could use.
+        """Return the CPU that jobs of other entries could use.
 
-        None while an own job waits: on a full pool some room is always free
-        for a moment, and the jobs that wait there have a turn.
+        It is zero while a job of this entry waits: even in a full pool some
+        capacity is free at times, but waiting jobs have precedence.
 
         :param now: monotonic seconds
-        :param service: of the endpoints
+        :param service: the service of the endpoints
+        :return: thousandths of a core
         """
         if not self._link.is_free(now):
             return 0
@@ -70,20 +70,20 @@
         return max(0, free - reserved)
 
     def has_room(self, now: float, job: _jobs.Job) -> bool:
-        """Return whether all of a new job's first tasks could start now."""
+        """Return whether all first tasks of a new job could start now."""
         if _placing.is_unfit(self._pool, job):
             return False
         service = job.request.job_class.service
         return cpu_millis_of(job) <= self.cpu_millis(now, service)
 
     def may_differ(self, now: float, entries: int) -> bool:
-        """Return whether other entries may have room that this one has not.
+        """Return whether other entries may have capacity that this one lacks.
 
-        They have not where each of them shares all endpoints, unless it is
-        the own link that is full.
+        Usually they don't if all entries share all endpoints, except while
+        this machine's link is busy or no endpoint is usable from here.
 
         :param now: monotonic seconds
-        :param entries: how many others there are
+        :param entries: the number of other entries
         """
         if self._link.is_busy(now) or not self._pool.is_usable(now):
             return True
@@ -92,11 +92,10 @@
     def late(self, now: float, lead_s: float) -> list[_jobs.Job]:
         """Return the untried jobs that would start too late here.
 
-        The most pressing ones come first.
-
         :param now: monotonic seconds
-        :param lead_s: how much sooner than its latest start a job counts as
-            late, so that another entry still starts it in time
+        :param lead_s: seconds before its latest start at which a job counts
+            as late, so that another entry can still start it in time
+        :return: the jobs, most urgent first
         """
         late = []
         ahead: dict[str, float] = {}
@@ -113,7 +112,12 @@
         return late
 
     def _wait_s(self, now: float, job: _jobs.Job, work: float) -> float:
-        """Return how long a job waits behind so many core-seconds."""
+        """Return the expected wait of a job behind some work.
+
+        :param now: monotonic seconds
+        :param job: the job
+        :param work: core-seconds of the jobs before it and of itself
+        """
         service = job.request.job_class.service
         cores = self._pool.capacity_cores(now, service)
         if not cores or _placing.is_unfit(self._pool, job):
