--- a/src/ferryledge/leases/_own_link.py
+++ b/src/ferryledge/leases/_own_link.py
@@ -1,43 +1,42 @@
-"""How full the link of this machine is with what this process sends.
+"""Estimates how long messages wait at the network link of this machine.
 
-A socket takes far more than the link carries in the time that a grant lasts,
-so a full link does not show when something is written. What was written and
-how fast the link is tells how long the last byte waits.
+Socket buffers hold far more than a narrow link carries during the lifetime of
+a grant, so writes don't show that the link is full. The queue is estimated
+from the bytes sent by this process and from the link's rate.
 """
 
 import math
 
 from ferryledge import wire
 
-#: Bytes that a message takes on the wire beside its own: headers, and the
-#: acknowledgement of what came.
+#: Overhead of a message on the wire, in bytes: headers and acknowledgement.
 PACKET_BYTES = 100
-#: Share of the link that this process counts on; the rest is for what it
-#: does not see, such as repeats of lost packets.
+#: Usable share of the link's rate. The rest is left for traffic that this
+#: process can't see, such as retransmissions.
 _USABLE_SHARE = 0.8
-#: Longest wait at the link for which something new is sent, in seconds. An
-#: order is in vain once the ask that it names is older than a grant.
+#: Longest wait at the link, in seconds, at which new work is still sent. An
+#: order that waits too long is void: it relies on a grant that has expired.
 _MOST_WAIT_S = 0.03
 #: Seconds over which the use of the link is averaged.
 SPAN_S = 0.5
-#: Share of the link in use from which bytes are worth processor time.
+#: Utilization from which it pays to compress what is sent.
 _BUSY_SHARE = 0.25
-#: Bytes of an answer to a client.
+#: Estimated bytes of an answer to a client.
 ANSWER_BYTES = 250
-#: Bytes of an order beside its spec and its runs, and of each run.
+#: Estimated bytes of an order without its spec and runs, and of each run.
 _ORDER_BYTES = 70
 _RUN_BYTES = 5
-#: Bytes of a difference between configurations beside its text.
+#: Estimated bytes of a configuration difference without its text.
 _DELTA_BYTES = 100
-#: Bytes of an address in a list, and of all other messages.
+#: Estimated bytes of an address in a list, and of any other message.
 _ADDRESS_BYTES = 40
 _SMALL_BYTES = 20
 
 
 class OwnLink:
-    """What waits at the link of this machine.
+    """Models the send queue at the network link of this machine.
 
-    :param bytes_per_s: what the link carries; infinite if that is unknown
+    :param bytes_per_s: the link's rate; infinite if unknown
     """
 
     def __init__(self, bytes_per_s: float = math.inf) -> None:
@@ -48,38 +47,38 @@
 
     @property
     def bytes_per_s(self) -> float:
-        """Bytes a second that this process counts on."""
+        """The usable rate of the link, in bytes per second."""
         return self._bytes_per_s
 
     def note_sent(self, now: float, size: int) -> None:
-        """Take in that a message was sent.
+        """Count a message that was sent.
 
         :param now: monotonic seconds
-        :param size: its bytes
+        :param size: its size in bytes
         """
         self._advance(now)
         self._queued += size + PACKET_BYTES
         self._lately += size + PACKET_BYTES
 
     def wait_s(self, now: float) -> float:
-        """Return how long what is sent now waits at the link."""
+        """Return the seconds that a message sent now waits at the link."""
         self._advance(now)
         return self._queued / self._bytes_per_s
 
     def is_free(self, now: float) -> bool:
-        """Return whether something new may be sent."""
+        """Return whether the queue is short enough to send new work."""
         return self.wait_s(now) <= _MOST_WAIT_S
 
     def free_at(self, now: float) -> float:
-        """Return when something new may be sent."""
+        """Return when the queue is short enough to send new work."""
         return now + max(0.0, self.wait_s(now) - _MOST_WAIT_S)
 
     def is_busy(self, now: float) -> bool:
-        """Return whether much of the link was in use lately."""
+        """Return whether recent traffic used much of the link."""
         return self.sent_lately(now) > _BUSY_SHARE * self._bytes_per_s * SPAN_S
 
     def sent_lately(self, now: float) -> float:
-        """Return the bytes that were sent in the span that is looked at."""
+        """Return the bytes sent recently, with exponential decay."""
         self._advance(now)
         return self._lately
 
@@ -97,7 +96,7 @@
 
 
 def size_of(message: wire.Message) -> int:
-    """Return about how many bytes a message takes, without encoding it."""
+    """Estimate the size of a message in bytes, without encoding it."""
     match message:
         case wire.OrderRuns():
             texts = len(message.spec) + len(message.packed_spec)
--- a/src/ferryledge/leases/_stopping.py
+++ b/src/ferryledge/leases/_stopping.py
@@ -1,4 +1,4 @@
-"""Stops runs at the endpoint, and knows when to look again."""
+"""Stops runs at the endpoint and repeats unconfirmed stop orders."""
 
 from collections import abc
 
@@ -15,8 +15,8 @@
 
 #: Seconds after which a disconnected entry without runs is forgotten.
 _FORGET_S = 10.0
-#: Stops that are repeated as soon as an answer counts as missing; an endpoint
-#: that is cut off gets the others at longer gaps, for each of its runs.
+#: Stops of a run that are repeated as soon as an answer is overdue. Further
+#: ones are sent at longer intervals: the endpoint is probably cut off.
 _QUICK_STOPS = 3
 
 Act = abc.Callable[[_agent_events.AgentAction], None]
@@ -25,13 +25,13 @@
 class Stopping:
     """Orders stops and repeats them until the endpoint confirms them.
 
-    :param runs: what the endpoint holds
+    :param runs: the runs at the endpoint
     :param link: the link to the endpoint
-    :param owners: the entries
-    :param timing: the lease rule
-    :param notes: what is decided
-    :param act: takes what is to be done
-    :param answer_times: how long answers of the endpoint take
+    :param owners: the entries that own runs
+    :param timing: the timing of leases
+    :param notes: records decisions
+    :param act: called with each action
+    :param answer_times: the endpoint's response times
     """
 
     def __init__(
@@ -51,9 +51,9 @@
         self._timing = timing
         self._notes = notes
         self._act = act
-        #: When the endpoint is asked beside the renewals what it runs.
+        #: When to list the endpoint's runs in addition to the renewals.
         self._list_at = float("inf")
-        #: Runs whose stop the endpoint has not confirmed; some may be over.
+        #: Runs with an unconfirmed stop; some may have ended.
         self._unconfirmed: dict[_runs.RunKey, _runs.RunRow] = {}
 
     def stop(
@@ -63,13 +63,14 @@
         owner: _owners.Owner | None = None,
         release: wire.NotStarted | None = None,
     ) -> None:
-        """Stop a run; nothing happens if that was ordered before.
+        """Stop a run, unless its stop was already ordered.
 
         :param now: monotonic seconds
         :param key: the run
-        :param owner: the entry that asks, which must own it; none if this
-            agent decides
-        :param release: what its entry is told should it never have started
+        :param owner: the entry that requests the stop, which must own the
+            run; ``None`` if the agent itself decides
+        :param release: the reason that its entry is given if the run proves
+            never to have started
         """
         row = self._runs.find(key)
         if row is None or row.state is _runs.RunState.STOPPING:
@@ -81,9 +82,12 @@
         self._order(now, row)
 
     def stop_anew(self, now: float, row: _runs.RunRow) -> None:
-        """Stop a run whose order an endpoint that started again may have.
+        """Stop a run whose order may have reached a restarted endpoint.
 
-        What it confirmed before, and the clock of before, count no more.
+        Confirmations and clock values of the former incarnation are void.
+
+        :param now: monotonic seconds
+        :param row: the run
         """
         row.state = _runs.RunState.STOPPING
         row.release = row.release or wire.NotStarted.NO_ANSWER
@@ -105,23 +109,23 @@
         )
 
     def confirmed(self, now: float, key: _runs.RunKey) -> None:
-        """Note that the endpoint took a stop."""
+        """Handle the endpoint's confirmation of a stop."""
         self._unconfirmed.pop(key, None)
         row = self._runs.find(key)
         if row is None:
             return
         row.stop_confirmed_at = now
         if row.release is not None:
-            # Its task waits to be ordered elsewhere: don't wait for the
-            # renewal that is on its way, nor for a stop of what had begun.
-            # A lost order cost 72 ms at the least, and costs 22 (simulation).
+            # Its task waits to be ordered elsewhere, so list the runs at once
+            # rather than wait for the next renewal.
             self._list_at = now
 
     def tick(self, now: float, unclaimed_since: float) -> None:
         """Order the stops that are due.
 
         :param now: monotonic seconds
-        :param unclaimed_since: since when runs wait to be claimed
+        :param unclaimed_since: since when runs without an owner wait for an
+            entry to claim them
         """
         for owner in self._with_runs():
             if not self._owners.has_grant(owner, now):
@@ -134,19 +138,19 @@
         self._list_runs(now)
 
     def _stop_without_grant(self, now: float, owner: _owners.Owner) -> None:
-        """Stop what an entry does not answer for any more."""
+        """Stop the runs of an entry whose grant has expired."""
         for row in self._runs.of_owner(owner.incarnation):
             if row.state is not _runs.RunState.STOPPING:
                 self._notes.grant_ran_out(now, owner, row)
             self.stop(now, row.key)
 
     def _with_runs(self) -> list[_owners.Owner]:
-        """Return the entries that are known and have runs here."""
+        """Return the known entries that have runs here."""
         found = [self._owners.find(one) for one in self._runs.owners()]
         return [owner for owner in found if owner is not None]
 
     def _forget_lost(self, now: float) -> None:
-        """Forget entries that have been gone for long."""
+        """Remove entries that have been disconnected for long."""
         for owner in self._owners.disconnected:
             if now - owner.granted_at > _FORGET_S:
                 self._owners.forget(owner.incarnation)
@@ -159,7 +163,7 @@
                 self._order(now, row)
 
     def _repeat_at(self, row: _runs.RunRow) -> float:
-        """Return when an unconfirmed stop is to be sent again."""
+        """Return when an unconfirmed stop is sent again."""
         if row.stop_sent_at is None:
             return float("inf")
         if row.stops_sent > _QUICK_STOPS:
@@ -169,7 +173,7 @@
     def _list_runs(self, now: float) -> None:
         if now < self._list_at:
             return
-        # Lists are lost as orders are: until one tells, ask again.
+        # The request or its answer may be lost: repeat it until a list comes.
         self._list_at = float("inf")
         if any(self._waits_for_list(row) for row in self._runs):
             self._list_at = now + self._answer_times.limit_s
@@ -177,15 +181,15 @@
         self._act(_agent_events.ListRuns(renewal))
 
     def _waits_for_list(self, row: _runs.RunRow) -> bool:
-        """Return whether a list may release a run's task.
+        """Return whether the next list may release a run's task.
 
-        What is listed as running tells its end by the usual renewals.
+        The end of a run that was already listed comes with a renewal.
         """
         stopped = row.stop_confirmed_at is not None
         return stopped and row.release is not None and not row.listed
 
     def due_at(self) -> float:
-        """Return when to tick at the latest."""
+        """Return when to tick at the latest, in monotonic seconds."""
         stops = [self._repeat_at(row) for row in self._unconfirmed.values()]
         grants = [
             owner.granted_at + self._timing.grant_s
--- a/src/ferryledge/leases/_stream_watch.py
+++ b/src/ferryledge/leases/_stream_watch.py
@@ -1,11 +1,9 @@
-"""Notices streams that went silent, by asks that are owed an answer.
-
-A new stream is opened beside a silent one and replaces it once both sides
-have greeted each other. If the old one answers first it was only slow, and
-the new one is given up: behind a full link or in a busy process the answer
-that is under way comes before a handshake of several round trips ends. Where
-that happens again and again, new streams cost the link what made it slow, and
-are tried less often.
+"""Detects silent streams by overdue answers and opens new ones.
+
+A new stream is opened beside a silent one and replaces it after the handshake.
+If the old stream answers before that, it was only slow, and the new one is
+abandoned. Over a full link or with a busy process such false alarms repeat and
+add to the load, so each of them doubles the interval between attempts.
 """
 
 from collections import abc
@@ -14,24 +12,24 @@
 from ferryledge.leases import _agent_notes
 from ferryledge.leases import _owners
 
-#: Seconds between tries to open a new stream beside the same silent one.
+#: Seconds between attempts to open a new stream beside the same silent one.
 _RETRY_S = 0.3
-#: False alarms by each of which the time between tries doubles, at the most.
-#: Tries then take place once in the silence after which a stream is given up.
+#: Largest number of false alarms by which the interval is doubled. There is
+#: then about one attempt until a silent stream is closed.
 _MOST_ALARMS = 2
-#: A look that comes so many seconds late shows that this process was paused
-#: or busy itself, and may have answers to read.
+#: Delay of a check, in seconds, from which on this process itself counts as
+#: paused or busy: it may have unread answers.
 _LATE_LOOK_S = 0.03
 
 Act = abc.Callable[[_agent_events.AgentAction], None]
 
 
 class StreamWatch:
-    """Looks for entries that owe an answer for longer than usual.
+    """Watches for entries whose answers take longer than usual.
 
-    :param owners: the entries
-    :param notes: what is decided
-    :param act: takes what is to be done
+    :param owners: the entries that own runs
+    :param notes: records decisions
+    :param act: called with each action
     """
 
     def __init__(
@@ -43,15 +41,23 @@
         self._owners = owners
         self._notes = notes
         self._act = act
-        #: When this process is to look next at the latest.
+        #: When the process ticks next at the latest.
         self._look_at = float("inf")
 
     def plan_look(self, at: float) -> None:
-        """Note when the process ticks next at the latest."""
+        """Set the time by which the process is due to tick.
+
+        :param at: monotonic seconds
+        """
         self._look_at = at
 
     def answered(self, now: float, owner: _owners.Owner, number: int) -> None:
-        """Take in that an entry has seen the ask with that number."""
+        """Record that an entry has seen a request.
+
+        :param now: monotonic seconds
+        :param owner: the entry
+        :param number: the number of the request for a grant
+        """
         late = now >= owner.silent_at
         if not self._owners.note_answer(now, owner, number):
             return
@@ -65,9 +71,12 @@
     def look(self, now: float) -> list[_owners.Owner]:
         """Open new streams beside silent ones.
 
-        A fault of the network seldom strikes one stream alone.
+        A network fault rarely affects just one stream, so the other streams
+        are probed when one is silent.
 
-        :return: the entries to ask at once, since another is silent
+        :param now: monotonic seconds
+        :return: the entries to probe: no answer of theirs is due, but none has
+            been heard since the first silence began
         """
         owing = self._owners.owing
         if not owing:
@@ -88,7 +97,7 @@
         ]
 
     def due_at(self) -> float:
-        """Return when to look at the latest."""
+        """Return when to check at the latest, in monotonic seconds."""
         owing = self._owners.owing
         return min(map(_due_at, owing)) if owing else float("inf")
 
@@ -101,5 +110,5 @@
 
 
 def _due_at(owner: _owners.Owner) -> float:
-    """Return when a new stream to an entry is due."""
+    """Return when a new stream to an entry is opened if it stays silent."""
     return max(owner.silent_at, owner.reopen_at)
