--- a/src/ferryledge/leases/_admission.py
+++ b/src/ferryledge/leases/_admission.py
@@ -5,13 +5,13 @@
 import random
 
 from ferryledge.leases import _jobs
-from ferryledge.leases import _own_link
-from ferryledge.leases import _placing
+from ferryledge.leases import _placement
 from ferryledge.leases import _pool
-from ferryledge.leases import _returns
+from ferryledge.leases import _pool_share
+from ferryledge.leases import _retry_schedule
 from ferryledge.leases import _rules
-from ferryledge.leases import _share
 from ferryledge.leases import _timing
+from ferryledge.leases import _uplink
 from ferryledge import limits
 from ferryledge import outcomes
 
@@ -39,19 +39,19 @@
         self,
         name: str,
         pool: _pool.Pool,
-        share: _share.Share,
-        link: _own_link.OwnLink,
+        share: _pool_share.PoolShare,
+        link: _uplink.Uplink,
         rng: random.Random,
         rules: _rules.EntryRules,
     ) -> None:
         self._name = name
         self._rules = rules
         self._pool = pool
-        self._share = share
+        self._pool_share = share
         self._link = link
         self._rng = rng
         #: What refused callers were told.
-        self.returns = _returns.Returns(rng)
+        self.retry_schedule = _retry_schedule.RetrySchedule(rng)
         self._ends_at = float("inf")
 
     def close(self, ends_at: float) -> None:
@@ -86,7 +86,7 @@
 
     def _unfit(self, job: _jobs.Job) -> outcomes.Refused | None:
         """Return a refusal if some step fits nowhere."""
-        if not _placing.is_unfit(self._pool, job):
+        if not _placement.is_infeasible(self._pool, job):
             return None
         return self._refuse(
             outcomes.Reason.IMPOSSIBLE,
@@ -126,20 +126,20 @@
             )
         return None
 
-    def judge(
+    def refuse_if_too_late(
         self,
         now: float,
         job: _jobs.Job,
-        room_in: abc.Callable[[float], float],
+        queueing_delay: abc.Callable[[float], float],
     ) -> outcomes.Refused | None:
         """Return a refusal for a job whose answer is forecast to be of no use.
 
         :param now: monotonic seconds
         :param job: a job that may be late and for which nothing was ordered
-        :param room_in: tells in how many seconds so much work has got room,
+        :param queueing_delay: tells in how many seconds so much work has got room,
             beside what waits already
         """
-        if self._pool.may_recover(now) and now < job.need.last_start:
+        if self._pool.may_recover(now) and now < job.demand.useful_start_by:
             return None
         unfit = self._unfit(job)
         if unfit is not None:
@@ -153,7 +153,9 @@
         reason = outcomes.Reason.CAPACITY
         if not self._rules.returns_in_order:
             return self._refuse(reason, detail)
-        delay_s = self.returns.promise(now, job.name, job.work, room_in)
+        delay_s = self.retry_schedule.schedule(
+            now, job.name, job.work, queueing_delay
+        )
         origin = outcomes.Origin(outcomes.Step.ADMIT, self._name)
         return outcomes.Refused(reason, origin, delay_s, detail)
 
@@ -163,15 +165,15 @@
         pool_cores = self._pool.capacity_cores(now, service)
         if not pool_cores:
             return float("inf")
-        sharers = self._pool.sharers(now, service)
-        cores = self._share.cores(now, pool_cores, sharers)
+        sharing_entries = self._pool.sharing_entries(now, service)
+        cores = self._pool_share.cores(now, pool_cores, sharing_entries)
         return (ahead + job.work) / cores + self._link.wait_s(now)
 
     def give_up(
         self, job: _jobs.Job
     ) -> outcomes.Refused | outcomes.FailedMayHaveRun:
         """Return the answer to a job whose client's time is over."""
-        if job.offered_at is None:
+        if job.dispatched_at is None:
             return self._refuse(outcomes.Reason.DEADLINE, "")
         origin = outcomes.Origin(outcomes.Step.ANSWER, self._name)
         return outcomes.FailedMayHaveRun(outcomes.Reason.DEADLINE, origin)
@@ -179,6 +181,6 @@
     def _refuse(
         self, reason: outcomes.Reason, detail: str
     ) -> outcomes.Refused:
-        delay = limits.spread_delay(_RETRY_S, _LONGEST_RETRY_S, self._rng)
+        delay = limits.jittered_delay(_RETRY_S, _LONGEST_RETRY_S, self._rng)
         origin = outcomes.Origin(outcomes.Step.ADMIT, self._name)
         return outcomes.Refused(reason, origin, delay, detail)
--- a/src/ferryledge/leases/_config_exchange.py
+++ b/src/ferryledge/leases/_config_exchange.py
@@ -145,7 +145,7 @@
             self._kept.popitem(last=False)
         return True
 
-    def answer(self, base: bytes) -> wire.ConfigDelta:
+    def delta_for(self, base: bytes) -> wire.ConfigDelta:
         """Return the difference that leads to the newest configuration.
 
         :param base: digest of the receiver's configuration; empty if it has
--- a/src/ferryledge/leases/_config_readers.py
+++ b/src/ferryledge/leases/_config_readers.py
@@ -15,7 +15,7 @@
 _MOST_S = 0.3
 
 
-def is_narrow(link_bytes_per_s: float) -> bool:
+def is_narrow_link(link_bytes_per_s: float) -> bool:
     """Return whether a large configuration would block a link for too long.
 
     :param link_bytes_per_s: the link's bytes per second; infinite if unknown
--- a/src/ferryledge/leases/_entry_notes.py
+++ b/src/ferryledge/leases/_entry_notes.py
@@ -32,7 +32,7 @@
             config=config,
         )
 
-    def deadly(self, job: _jobs.Job, task: _jobs.Task) -> None:
+    def task_abandoned(self, job: _jobs.Job, task: _jobs.Task) -> None:
         """A task is given up, since endpoints crash under it."""
         self.add(
             outcomes.Step.RUN,
@@ -121,8 +121,10 @@
         )
         if reason:
             facts["reason"] = str(reason)
-        if job.offered_at is not None:
-            facts["first_order_s"] = round(job.offered_at - job.arrived_at, 3)
+        if job.dispatched_at is not None:
+            facts["first_order_s"] = round(
+                job.dispatched_at - job.arrived_at, 3
+            )
         self.add(
             outcomes.Step.ANSWER,
             message,
@@ -136,14 +138,14 @@
             **facts,
         )
 
-    def put_back(
+    def deferred(
         self, now: float, job: _jobs.Job, told: _forecast.Forecast
     ) -> None:
         """A job waits behind all that can be in time, for the first time."""
-        if job.was_put_back:
+        if job.was_deferred:
             return
-        job.was_put_back = True
-        self._meter.put_back()
+        job.was_deferred = True
+        self._meter.deferred()
         self.add(
             outcomes.Step.ADMIT,
             "put back: late, and of use",
@@ -174,7 +176,7 @@
     ) -> None:
         """Runs were ordered at an agent."""
         self._meter.ordered(len(tasks))
-        if job.offered_at == now:
+        if job.dispatched_at == now:
             self._meter.first_order(now - job.arrived_at)
         self.add(
             outcomes.Step.PLACE,
@@ -249,9 +251,9 @@
             normal_s=late.normal_s,
         )
 
-    def retry_waits(self, job: _jobs.Job, task: _jobs.Task) -> None:
+    def retry_delayed(self, job: _jobs.Job, task: _jobs.Task) -> None:
         """A task that failed waits until there is budget to try it again."""
-        self._meter.retry_waits()
+        self._meter.retry_delayed()
         self.add(
             outcomes.Step.PLACE,
             "second try waits: too many of the starts are second tries",
@@ -290,7 +292,7 @@
             runs=len(row.runs),
         )
 
-    def over(self, now: float, row: _pool.AgentRow) -> None:
+    def expired(self, now: float, row: _pool.AgentRow) -> None:
         """Runs are over by the lease rule alone."""
         self.add(
             outcomes.Step.LEASE,
@@ -323,7 +325,7 @@
             steady=state.steady,
         )
 
-    def judged(
+    def health_changed(
         self, job: str, row: _pool.AgentRow, state: health.Health
     ) -> None:
         """An endpoint's health changed, by an end or by what others saw.
--- a/src/ferryledge/leases/_forecast.py
+++ b/src/ferryledge/leases/_forecast.py
@@ -31,7 +31,7 @@
     #: It is likely to miss that, yet to be of use to its client.
     LATE = "late"
     #: Its answer would come when nobody needs it any more.
-    IN_VAIN = "in vain"
+    TOO_LATE = "in vain"
 
 
 class Forecast(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
     prospect: Prospect
 
 
-class Need(msgspec.Struct, frozen=True):
+class Demand(msgspec.Struct, frozen=True):
     """What a forecast has to know of a job; times in monotonic seconds."""
 
     #: Core-seconds of its waiting tasks.
@@ -57,12 +57,12 @@
     useful_until: float
 
     @property
-    def last_start(self) -> float:
+    def useful_start_by(self) -> float:
         """The latest start whose answer is likely to be of use."""
         return self.useful_until - self.run_s
 
 
-class RoomChange(msgspec.Struct, frozen=True):
+class CapacityChange(msgspec.Struct, frozen=True):
     """Room that comes or goes."""
 
     #: Seconds from now.
@@ -71,16 +71,16 @@
     cores: float
 
 
-class Room(msgspec.Struct, frozen=True):
+class AvailableCapacity(msgspec.Struct, frozen=True):
     """The room that work of one entry can count on."""
 
     #: Cores that its waiting work gets in the long run.
     cores: float
     #: Cores on which nothing runs now.
     free: float = 0.0
-    changes: tuple[RoomChange, ...] = ()
+    changes: tuple[CapacityChange, ...] = ()
     #: Seconds that an order waits for this entry's own link.
-    link_s: float = 0.0
+    link_wait_s: float = 0.0
 
     def cores_in(self, in_s: float) -> float:
         """Return the cores at a later moment."""
@@ -97,7 +97,7 @@
     """
 
     def __init__(
-        self, now: float, room: Room, inflow: _arrivals.Inflow
+        self, now: float, room: AvailableCapacity, inflow: _arrivals.Inflow
     ) -> None:
         self._now = now
         self._room = room
@@ -114,33 +114,33 @@
         """The cores that its jobs can count on now."""
         return self._room.cores_in(0.0)
 
-    def in_time(self, need: Need, ahead: float) -> Forecast:
+    def forecast_on_time(self, demand: Demand, ahead: float) -> Forecast:
         """Return the forecast of a job in the turn of those in time.
 
-        :param need: what it needs
+        :param demand: what it needs
         :param ahead: core-seconds that wait and get room before it
         """
-        coming = self.inflow.ahead(need.start_by - self._now)
-        room_in_s = self._room_in(self._whole, need, ahead + coming)
-        if self._now + room_in_s <= need.start_by:
-            return self._tell(need, room_in_s, Prospect.IN_TIME)
-        return self.late(need, ahead)
+        coming = self.inflow.ahead(demand.start_by - self._now)
+        room_in_s = self._room_in(self._whole, demand, ahead + coming)
+        if self._now + room_in_s <= demand.start_by:
+            return self._tell(demand, room_in_s, Prospect.IN_TIME)
+        return self.late(demand, ahead)
 
-    def late(self, need: Need, ahead: float) -> Forecast:
+    def late(self, demand: Demand, ahead: float) -> Forecast:
         """Return the forecast of a job behind all that can be in time.
 
-        :param need: what it needs
+        :param demand: what it needs
         :param ahead: core-seconds that wait and get room before it
         """
-        room_in_s = self._room_in(self._left, need, ahead)
+        room_in_s = self._room_in(self._left, demand, ahead)
         # What fits into free room is not given up: it may get that in spite
         # of what is ahead, which may wait for other endpoints.
-        wait_s = 0.0 if self._fits(need) else room_in_s
-        if self._now + wait_s <= need.last_start:
-            return self._tell(need, room_in_s, Prospect.LATE)
-        return self._tell(need, room_in_s, Prospect.IN_VAIN)
+        wait_s = 0.0 if self._fits(demand) else room_in_s
+        if self._now + wait_s <= demand.useful_start_by:
+            return self._tell(demand, room_in_s, Prospect.LATE)
+        return self._tell(demand, room_in_s, Prospect.TOO_LATE)
 
-    def room_in(self, ahead: float, work: float) -> float:
+    def queueing_delay(self, ahead: float, work: float) -> float:
         """Return in how many seconds so much more work has got room.
 
         :param ahead: core-seconds that wait
@@ -148,23 +148,25 @@
         """
         return _reached(self._left, ahead + work)
 
-    def _fits(self, need: Need) -> bool:
+    def _fits(self, demand: Demand) -> bool:
         """Return whether all its waiting tasks have room now."""
-        return need.work <= self._room.free * need.run_s
+        return demand.work <= self._room.free * demand.run_s
 
-    def _room_in(self, sums: list[float], need: Need, ahead: float) -> float:
+    def _room_in(
+        self, sums: list[float], demand: Demand, ahead: float
+    ) -> float:
         """Return how long it takes until the last task has room.
 
         What is free now takes that much work without any run's end.
         """
-        at_once = self._room.free * need.run_s
-        work = max(0.0, ahead + need.work - at_once)
-        return _reached(sums, work) + self._room.link_s
+        at_once = self._room.free * demand.run_s
+        work = max(0.0, ahead + demand.work - at_once)
+        return _reached(sums, work) + self._room.link_wait_s
 
     def _tell(
-        self, need: Need, room_in_s: float, prospect: Prospect
+        self, demand: Demand, room_in_s: float, prospect: Prospect
     ) -> Forecast:
-        return Forecast(room_in_s, room_in_s + need.run_s, prospect)
+        return Forecast(room_in_s, room_in_s + demand.run_s, prospect)
 
 
 def _sums(cores: list[float]) -> list[float]:
--- a/src/ferryledge/leases/_job_table.py
+++ b/src/ferryledge/leases/_job_table.py
@@ -16,7 +16,7 @@
         self._complete: dict[str, float] = {}
         #: From when the right to run jobs of other entries counts, by the
         #: names of the jobs.
-        self.signed: dict[str, float] = {}
+        self.authorised_at: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._jobs)
@@ -30,9 +30,9 @@
         return [job for job in self._jobs.values() if not job.closed]
 
     @property
-    def untried(self) -> list[_jobs.Job]:
+    def undispatched(self) -> list[_jobs.Job]:
         """Open jobs that nothing was ordered for."""
-        return [job for job in self.open if job.offered_at is None]
+        return [job for job in self.open if job.dispatched_at is None]
 
     @property
     def are_waiting(self) -> bool:
@@ -56,7 +56,7 @@
 
     def drop_if_over(self, job: _jobs.Job) -> None:
         """Forget a closed job once none of its runs may be alive."""
-        if job.closed and not job.is_away and not job.bound():
+        if job.closed and not job.is_delegated and not job.bound():
             self._jobs.pop(job.name, None)
 
     def note_complete(self, name: str, now: float) -> None:
--- a/src/ferryledge/leases/_jobs.py
+++ b/src/ferryledge/leases/_jobs.py
@@ -92,7 +92,7 @@
     agent: str = ""
     ordered_at: float = 0.0
     #: Agents that failed or were too slow for it.
-    avoid: set[str] = msgspec.field(default_factory=set)
+    avoided_agents: set[str] = msgspec.field(default_factory=set)
     #: Whether its run was told to stop.
     stopping: bool = False
     #: Times that it was moved for being too slow.
@@ -116,22 +116,22 @@
     #: By how much that may be off: the deviation of its logarithm.
     spread: float = 0.0
     #: When its first run was ordered; none yet if nothing was.
-    offered_at: float | None = None
+    dispatched_at: float | None = None
     #: What was forecast of it last, while nothing was ordered for it; none
     #: if it was not looked at, or is refused where it would be late.
     forecast: _forecast.Forecast | None = None
     #: Whether it was ever put behind all that can be in time.
-    was_put_back: bool = False
+    was_deferred: bool = False
     #: Whether its client was refused and comes back at the time it was told.
-    keeps_place: bool = False
+    is_scheduled_retry: bool = False
     #: Whether it was answered, or nobody waits for it any more.
     closed: bool = False
     #: Its spec, packed; empty until that is needed.
     packed_spec: bytes = b""
     #: Whether another entry has it, or may have it: nothing is ordered here.
-    is_away: bool = False
+    is_delegated: bool = False
     #: Whether it belongs to another entry; it is handed on no further.
-    is_handed_in: bool = False
+    is_incoming: bool = False
     #: Times that it was offered to other entries.
     offers: int = 0
     #: Tasks in the state of waiting, whether their turn has come or not.
@@ -199,16 +199,16 @@
         return self.request.job_class.late_factor > 1.0
 
     @property
-    def is_put_back(self) -> bool:
+    def is_deferred(self) -> bool:
         """Whether it waits behind all jobs that can be in time."""
         if self.forecast is None:
             return False
         return self.forecast.prospect is not _forecast.Prospect.IN_TIME
 
     @property
-    def need(self) -> _forecast.Need:
+    def demand(self) -> _forecast.Demand:
         """What a forecast has to know of it."""
-        return _forecast.Need(
+        return _forecast.Demand(
             self.waiting_work(),
             self.expected_s,
             self.start_by,
@@ -216,9 +216,9 @@
         )
 
     @property
-    def has_begun(self) -> bool:
+    def is_dispatched(self) -> bool:
         """Whether a run of it was ordered."""
-        return self.offered_at is not None
+        return self.dispatched_at is not None
 
     def waiting_work(self) -> float:
         """Return the core-seconds that its waiting tasks are to take."""
@@ -259,7 +259,7 @@
 
     def startable(self) -> list[Task]:
         """Return the waiting tasks whose earlier steps are done."""
-        if self.is_away or not self.waiting:
+        if self.is_delegated or not self.waiting:
             return []
         ready: list[Task] = []
         for number, step in enumerate(self.request.steps):
--- a/src/ferryledge/leases/_peers.py
+++ b/src/ferryledge/leases/_peers.py
@@ -51,16 +51,16 @@
     so whatever one entry reads is forwarded to all.
 
     :param cordons: the cordoned availability zones
-    :param is_narrow: whether a large configuration would block this machine's
-        link; an agent then reads configurations for this entry
+    :param is_narrow_link: whether a large configuration would block this
+        machine's link; an agent then reads configurations for this entry
     """
 
     def __init__(
-        self, cordons: _cordons.Cordons, is_narrow: bool = False
+        self, cordons: _cordons.Cordons, is_narrow_link: bool = False
     ) -> None:
         self._cordons = cordons
         self._exchange = _config_exchange.ConfigExchange()
-        self._readers = _config_readers.ConfigReaders(is_narrow)
+        self._readers = _config_readers.ConfigReaders(is_narrow_link)
         self._entries: dict[str, wire.EntryAddress] = {}
         self._peers: dict[str, _Peer] = {}
         #: Since when some peer is known to have a newer configuration.
@@ -78,7 +78,7 @@
         return self._exchange.digest
 
     @property
-    def reader(self) -> str:
+    def config_reader(self) -> str:
         """The agent that reads configurations for this entry; may be empty."""
         return self._readers.current
 
@@ -115,7 +115,7 @@
             self._send(hello.name, self._alive())
         if hello.reads_configs and self._readers.join(hello.name):
             self._ask_reader()
-        elif hello.name == self.reader:
+        elif hello.name == self.config_reader:
             # The agent dropped the request when its former stream closed.
             self._ask_reader()
 
@@ -125,14 +125,14 @@
         if self._readers.leave(name):
             self._ask_reader()
 
-    def miss_config(self) -> None:
+    def replace_config_reader(self) -> None:
         """Choose another agent as reader: the current one was too slow."""
         if self._readers.fail():
             self._ask_reader()
 
     def _ask_reader(self) -> None:
         request = wire.ConfigRequest(self._exchange.digest, follow=True)
-        self._send(self.reader, request)
+        self._send(self.config_reader, request)
 
     def learn_entries(self, entries: tuple[wire.EntryAddress, ...]) -> None:
         """Add or update addresses of entries; dial and forward the new ones.
@@ -168,7 +168,7 @@
         for name in self.entry_names():
             self._send(name, self._alive())
 
-    def take_delta(self, name: str, delta: wire.ConfigDelta) -> None:
+    def apply_config_delta(self, name: str, delta: wire.ConfigDelta) -> None:
         """Apply a difference between configurations.
 
         If it can't be applied here the whole configuration is requested.
@@ -181,12 +181,12 @@
         try:
             data = self._exchange.restore(delta)
         except _config_exchange.ExchangeError:
-            follow = name == self.reader
+            follow = name == self.config_reader
             self._send(name, wire.ConfigRequest(follow=follow))
             return
         self.learn_config(delta.version, data, delta.log_end)
 
-    def give_config(self, name: str, request: wire.ConfigRequest) -> None:
+    def send_config(self, name: str, request: wire.ConfigRequest) -> None:
         """Send a peer the newest configuration, if there is one.
 
         :param name: the peer that requests it
@@ -196,17 +196,17 @@
         if not self.version or peer is None:
             return
         if peer.config_deltas:
-            self._send(name, self._exchange.answer(request.digest))
+            self._send(name, self._exchange.delta_for(request.digest))
         else:
             self._send(name, self._reply())
 
-    def hear_version(self, name: str, version: int) -> None:
+    def note_version(self, name: str, version: int) -> None:
         """Record the version of a peer's configuration."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.version = version
 
-    def catch_up(self, now: float) -> None:
+    def request_newer_config(self, now: float) -> None:
         """Request a newer configuration from a peer if the store is slow.
 
         :param now: monotonic seconds
@@ -239,7 +239,7 @@
             self._tell_cordons(name)
         return True
 
-    def hear_cordons(self, name: str, state: wire.CordonedZones) -> bool:
+    def reconcile_cordons(self, name: str, state: wire.CordonedZones) -> bool:
         """Merge a peer's cordoned zones; send it newer ones if it is behind.
 
         :param name: the peer
@@ -255,13 +255,13 @@
         if peer is not None and peer.cordons:
             self._send(name, self._cordons.state)
 
-    def heard(self, now: float, name: str) -> None:
+    def note_received(self, now: float, name: str) -> None:
         """Record that a message came from a peer."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.heard_at = now
 
-    def keep_alive(self, now: float) -> None:
+    def send_keep_alives(self, now: float) -> None:
         """Send due keep-alive messages; close silent streams of entries."""
         for name in self.entry_names():
             peer = self._peers[name]
@@ -272,7 +272,7 @@
                 peer.told_at = now
                 self._send(name, self._alive())
 
-    def forgive_silence(self, now: float) -> None:
+    def reset_silence_timers(self, now: float) -> None:
         """Reset all silence timers, since this process itself was paused."""
         for peer in self._peers.values():
             peer.heard_at = now
--- a/src/ferryledge/leases/_returns.py
+++ b/src/ferryledge/leases/_retry_schedule.py
@@ -39,7 +39,7 @@
     work: float
 
 
-class Returns:
+class RetrySchedule:
     """What refused callers were told.
 
     :param rng: spreads callers for whom no room is forecast
@@ -49,19 +49,19 @@
         self._rng = rng
         self._promises: dict[str, _Promise] = {}
 
-    def promise(
+    def schedule(
         self,
         now: float,
         name: str,
         work: float,
-        room_in: abc.Callable[[float], float],
+        queueing_delay: abc.Callable[[float], float],
     ) -> float:
         """Return the seconds after which a refused caller is to come back.
 
         :param now: monotonic seconds
         :param name: its job
         :param work: core-seconds of the job
-        :param room_in: tells in how many seconds so much work has got room,
+        :param queueing_delay: tells in how many seconds so much work has got room,
             beside what waits already
         """
         self._forget(now)
@@ -71,14 +71,14 @@
         promised = sum(
             one.work for one in self._promises.values() if one.due_at > now
         )
-        delay_s = room_in(promised + work)
+        delay_s = queueing_delay(promised + work)
         if delay_s > _LONGEST_S:
             delay_s = _LONGEST_S * (1.0 - 0.5 * self._rng.random())
         self._promises.pop(name, None)
         self._promises[name] = _Promise(now + delay_s, work)
         return delay_s
 
-    def come(self, now: float, name: str) -> bool:
+    def claim(self, now: float, name: str) -> bool:
         """Return whether a job that is taken comes back at its time.
 
         :param now: monotonic seconds
--- a/src/ferryledge/leases/_stopping.py
+++ b/src/ferryledge/leases/_run_stopper.py
@@ -22,7 +22,7 @@
 Act = abc.Callable[[_agent_events.AgentAction], None]
 
 
-class Stopping:
+class RunStopper:
     """Orders stops and repeats them until the endpoint confirms them.
 
     :param runs: the runs at the endpoint
@@ -61,7 +61,7 @@
         now: float,
         key: _runs.RunKey,
         owner: _owners.Owner | None = None,
-        release: wire.NotStarted | None = None,
+        release_reason: wire.NotStarted | None = None,
     ) -> None:
         """Stop a run, unless its stop was already ordered.
 
@@ -69,8 +69,8 @@
         :param key: the run
         :param owner: the entry that requests the stop, which must own the
             run; ``None`` if the agent itself decides
-        :param release: the reason that its entry is given if the run proves
-            never to have started
+        :param release_reason: the reason that its entry is given if the run
+            proves never to have started
         """
         row = self._runs.find(key)
         if row is None or row.state is _runs.RunState.STOPPING:
@@ -78,10 +78,10 @@
         if owner is not None and row.owner != owner.incarnation:
             return
         row.state = _runs.RunState.STOPPING
-        row.release = release
+        row.release_reason = release_reason
         self._order(now, row)
 
-    def stop_anew(self, now: float, row: _runs.RunRow) -> None:
+    def stop_after_restart(self, now: float, row: _runs.RunRow) -> None:
         """Stop a run whose order may have reached a restarted endpoint.
 
         Confirmations and clock values of the former incarnation are void.
@@ -90,7 +90,7 @@
         :param row: the run
         """
         row.state = _runs.RunState.STOPPING
-        row.release = row.release or wire.NotStarted.NO_ANSWER
+        row.release_reason = row.release_reason or wire.NotStarted.NO_ANSWER
         row.expires_ms = 0
         row.stop_confirmed_at = None
         self._order(now, row)
@@ -115,7 +115,7 @@
         if row is None:
             return
         row.stop_confirmed_at = now
-        if row.release is not None:
+        if row.release_reason is not None:
             # Its task waits to be ordered elsewhere, so list the runs at once
             # rather than wait for the next renewal.
             self._list_at = now
@@ -141,7 +141,7 @@
         """Stop the runs of an entry whose grant has expired."""
         for row in self._runs.of_owner(owner.incarnation):
             if row.state is not _runs.RunState.STOPPING:
-                self._notes.grant_ran_out(now, owner, row)
+                self._notes.grant_expired(now, owner, row)
             self.stop(now, row.key)
 
     def _with_runs(self) -> list[_owners.Owner]:
@@ -167,7 +167,7 @@
         if row.stop_sent_at is None:
             return float("inf")
         if row.stops_sent > _QUICK_STOPS:
-            return row.stop_sent_at + self._timing.order_s
+            return row.stop_sent_at + self._timing.order_timeout_s
         return row.stop_sent_at + self._answer_times.limit_s
 
     def _list_runs(self, now: float) -> None:
@@ -186,7 +186,7 @@
         The end of a run that was already listed comes with a renewal.
         """
         stopped = row.stop_confirmed_at is not None
-        return stopped and row.release is not None and not row.listed
+        return stopped and row.release_reason is not None and not row.listed
 
     def due_at(self) -> float:
         """Return when to tick at the latest, in monotonic seconds."""
--- a/src/ferryledge/leases/_stream_watch.py
+++ b/src/ferryledge/leases/_stream_watch.py
@@ -44,14 +44,16 @@
         #: When the process ticks next at the latest.
         self._look_at = float("inf")
 
-    def plan_look(self, at: float) -> None:
+    def note_next_tick(self, at: float) -> None:
         """Set the time by which the process is due to tick.
 
         :param at: monotonic seconds
         """
         self._look_at = at
 
-    def answered(self, now: float, owner: _owners.Owner, number: int) -> None:
+    def note_answer(
+        self, now: float, owner: _owners.Owner, number: int
+    ) -> None:
         """Record that an entry has seen a request.
 
         :param now: monotonic seconds
@@ -64,11 +66,11 @@
         if owner.reopening:
             owner.reopening = False
             owner.false_alarms = min(_MOST_ALARMS, owner.false_alarms + 1)
-            self._act(_agent_events.KeepStream(owner.name))
+            self._act(_agent_events.CancelReopen(owner.name))
         elif not late:
             owner.false_alarms = max(0, owner.false_alarms - 1)
 
-    def look(self, now: float) -> list[_owners.Owner]:
+    def reopen_silent(self, now: float) -> list[_owners.Owner]:
         """Open new streams beside silent ones.
 
         A network fault rarely affects just one stream, so the other streams
@@ -78,32 +80,38 @@
         :return: the entries to probe: no answer of theirs is due, but none has
             been heard since the first silence began
         """
-        owing = self._owners.owing
-        if not owing:
+        awaiting_answer = self._owners.awaiting_answer
+        if not awaiting_answer:
             return []
         if now - self._look_at > _LATE_LOOK_S:
-            for owner in owing:
-                owner.owed = dict.fromkeys(owner.owed, now)
-        silent = [owner for owner in owing if now >= _due_at(owner)]
+            for owner in awaiting_answer:
+                owner.unanswered_asks = dict.fromkeys(
+                    owner.unanswered_asks, now
+                )
+        silent = [owner for owner in awaiting_answer if now >= _due_at(owner)]
         for owner in silent:
             self._reopen(now, owner)
         if not silent:
             return []
-        since = min(owner.oldest_owed_at for owner in silent)
+        since = min(owner.oldest_unanswered_at for owner in silent)
         return [
             owner
             for owner in self._owners.connected
-            if not owner.owed and owner.heard_at < since
+            if not owner.unanswered_asks and owner.heard_at < since
         ]
 
     def due_at(self) -> float:
         """Return when to check at the latest, in monotonic seconds."""
-        owing = self._owners.owing
-        return min(map(_due_at, owing)) if owing else float("inf")
+        awaiting_answer = self._owners.awaiting_answer
+        return (
+            min(map(_due_at, awaiting_answer))
+            if awaiting_answer
+            else float("inf")
+        )
 
     def _reopen(self, now: float, owner: _owners.Owner) -> None:
         if not owner.reopening:
-            self._notes.suspected(now, owner)
+            self._notes.stream_suspected(now, owner)
         owner.reopening = True
         owner.reopen_at = now + _RETRY_S * 2**owner.false_alarms
         self._act(_agent_events.ReopenStream(owner.name))
--- a/src/ferryledge/leases/_own_link.py
+++ b/src/ferryledge/leases/_uplink.py
@@ -18,7 +18,7 @@
 #: order that waits too long is void: it relies on a grant that has expired.
 _MOST_WAIT_S = 0.03
 #: Seconds over which the use of the link is averaged.
-SPAN_S = 0.5
+AVERAGING_S = 0.5
 #: Utilization from which it pays to compress what is sent.
 _BUSY_SHARE = 0.25
 #: Estimated bytes of an answer to a client.
@@ -33,7 +33,7 @@
 _SMALL_BYTES = 20
 
 
-class OwnLink:
+class Uplink:
     """Models the send queue at the network link of this machine.
 
     :param bytes_per_s: the link's rate; infinite if unknown
@@ -75,9 +75,12 @@
 
     def is_busy(self, now: float) -> bool:
         """Return whether recent traffic used much of the link."""
-        return self.sent_lately(now) > _BUSY_SHARE * self._bytes_per_s * SPAN_S
+        return (
+            self.recent_bytes(now)
+            > _BUSY_SHARE * self._bytes_per_s * AVERAGING_S
+        )
 
-    def sent_lately(self, now: float) -> float:
+    def recent_bytes(self, now: float) -> float:
         """Return the bytes sent recently, with exponential decay."""
         self._advance(now)
         return self._lately
@@ -87,7 +90,7 @@
         if passed <= 0.0:
             return
         self._at = now
-        self._lately *= math.exp(-passed / SPAN_S)
+        self._lately *= math.exp(-passed / AVERAGING_S)
         if math.isinf(self._bytes_per_s):
             self._queued = 0.0
         else:
