--- a/src/ferryledge/leases/_config_exchange.py
+++ b/src/ferryledge/leases/_config_exchange.py
@@ -17,10 +17,10 @@
 _PART_END = b"}"
 #: Recent configurations that are kept as bases for differences. One would do
 #: for receivers that get every version; more help those that are behind.
-_KEPT = 4
+_MAX_BASES = 4
 #: Largest number of pieces in a difference; with more, sending the whole
 #: configuration is faster.
-_MOST_PIECES = 1000
+_MAX_PIECES = 1000
 
 
 class ExchangeError(Exception):
@@ -51,32 +51,32 @@
     :param parts: the parts of the new configuration
     :return: the pieces, and the text that they append
     """
-    places = {part: number for number, part in enumerate(base)}
+    indices = {part: number for number, part in enumerate(base)}
     pieces: list[wire.ConfigPiece] = []
     text = bytearray()
     first = count = length = 0
     for part in parts:
-        place = places.get(part)
-        if place is None:
+        index = indices.get(part)
+        if index is None:
             text += part
             length += len(part)
             continue
-        if length or place != first + count:
+        if length or index != first + count:
             if count or length:
                 pieces.append(wire.ConfigPiece(first, count, length))
-            first, count, length = place, 0, 0
+            first, count, length = index, 0, 0
         count += 1
     pieces.append(wire.ConfigPiece(first, count, length))
     return tuple(pieces), bytes(text)
 
 
-def _join(
+def _apply_pieces(
     base: tuple[bytes, ...],
     pieces: tuple[wire.ConfigPiece, ...],
     text: bytes,
 ) -> bytes:
     result = bytearray()
-    at = 0
+    offset = 0
     for piece in pieces:
         last = piece.first + piece.count
         if not 0 <= piece.first <= last <= len(base) or piece.length < 0:
@@ -84,8 +84,8 @@
                 "configuration difference does not match its base"
             )
         result += b"".join(base[piece.first : last])
-        result += text[at : at + piece.length]
-        at += piece.length
+        result += text[offset : offset + piece.length]
+        offset += piece.length
     return bytes(result)
 
 
@@ -98,11 +98,11 @@
         self._log_end = 0
         self._digest = b""
         #: Parts of recent configurations by digest, the newest last.
-        self._kept: collections.OrderedDict[bytes, tuple[bytes, ...]] = (
+        self._bases: collections.OrderedDict[bytes, tuple[bytes, ...]] = (
             collections.OrderedDict()
         )
         #: Differences that lead to the newest one, by the base's digest.
-        self._answers: dict[bytes, wire.ConfigDelta] = {}
+        self._deltas: dict[bytes, wire.ConfigDelta] = {}
 
     @property
     def version(self) -> int:
@@ -139,10 +139,10 @@
         self._data = data
         self._log_end = max(log_end, self._log_end)
         self._digest = digest_of(data)
-        self._kept[self._digest] = split_parts(data)
-        self._answers.clear()
-        while len(self._kept) > _KEPT:
-            self._kept.popitem(last=False)
+        self._bases[self._digest] = split_parts(data)
+        self._deltas.clear()
+        while len(self._bases) > _MAX_BASES:
+            self._bases.popitem(last=False)
         return True
 
     def delta_for(self, base: bytes) -> wire.ConfigDelta:
@@ -152,20 +152,20 @@
             none
         :return: the difference, or the whole if the base is unknown here
         """
-        if base not in self._answers:
-            self._answers[base] = self._make(base)
-        return self._answers[base]
-
-    def _make(self, base: bytes) -> wire.ConfigDelta:
-        kept = self._kept.get(base)
-        if kept is not None:
-            parts = self._kept[self._digest]
-            pieces, text = difference(kept, parts)
-            if len(pieces) <= _MOST_PIECES:
-                return self._delta(base, pieces, text)
-        return self._delta(b"", (), self._data)
-
-    def _delta(
+        if base not in self._deltas:
+            self._deltas[base] = self._make_delta(base)
+        return self._deltas[base]
+
+    def _make_delta(self, base: bytes) -> wire.ConfigDelta:
+        base_parts = self._bases.get(base)
+        if base_parts is not None:
+            parts = self._bases[self._digest]
+            pieces, text = difference(base_parts, parts)
+            if len(pieces) <= _MAX_PIECES:
+                return self._encode_delta(base, pieces, text)
+        return self._encode_delta(b"", (), self._data)
+
+    def _encode_delta(
         self, base: bytes, pieces: tuple[wire.ConfigPiece, ...], text: bytes
     ) -> wire.ConfigDelta:
         return wire.ConfigDelta(
@@ -189,12 +189,12 @@
         except wire.PackingError as exc:
             raise ExchangeError(str(exc)) from exc
         if delta.base:
-            base = self._kept.get(delta.base)
+            base = self._bases.get(delta.base)
             if base is None:
                 raise ExchangeError(
                     "base of the configuration difference is unknown"
                 )
-            text = _join(base, delta.pieces, text)
+            text = _apply_pieces(base, delta.pieces, text)
         if digest_of(text) != delta.digest:
             raise ExchangeError(
                 "digest of the configuration does not match the expected one"
--- a/src/ferryledge/leases/_config_readers.py
+++ b/src/ferryledge/leases/_config_readers.py
@@ -12,7 +12,7 @@
 _LARGE_BYTES = 256 * 1024
 #: Longest time that its transfer may occupy the link, in seconds. It must be
 #: well below the lifetime of a grant, which is renewed over the same link.
-_MOST_S = 0.3
+_MAX_TRANSFER_S = 0.3
 
 
 def is_narrow_link(link_bytes_per_s: float) -> bool:
@@ -20,17 +20,17 @@
 
     :param link_bytes_per_s: the link's bytes per second; infinite if unknown
     """
-    return _MOST_S * link_bytes_per_s < _LARGE_BYTES
+    return _MAX_TRANSFER_S * link_bytes_per_s < _LARGE_BYTES
 
 
 class ConfigReaders:
     """Chooses one of the agents that offer to read configurations.
 
-    :param wanted: whether this entry needs a reader
+    :param is_needed: whether this entry needs a reader
     """
 
-    def __init__(self, wanted: bool) -> None:
-        self._wanted = wanted
+    def __init__(self, is_needed: bool) -> None:
+        self._is_needed = is_needed
         #: How often each agent failed to deliver a configuration in time.
         self._failures: dict[str, int] = {}
         self._current = ""
@@ -56,7 +56,7 @@
         self._failures.pop(name, None)
         return name == self._current and self._choose()
 
-    def fail(self) -> bool:
+    def note_failure(self) -> bool:
         """Count a failure of the current reader and choose again.
 
         :return: whether an agent was chosen; it may be the same one
@@ -67,7 +67,7 @@
         return self._choose()
 
     def _choose(self) -> bool:
-        if not self._wanted or not self._failures:
+        if not self._is_needed or not self._failures:
             self._current = ""
             return False
         # All entries rank agents alike, so that few agents read.
--- a/src/ferryledge/leases/_cordons.py
+++ b/src/ferryledge/leases/_cordons.py
@@ -46,5 +46,5 @@
         )
 
 
-def _is_newer(one: wire.CordonedZones, other: wire.CordonedZones) -> bool:
-    return one.version > other.version
+def _is_newer(state: wire.CordonedZones, other: wire.CordonedZones) -> bool:
+    return state.version > other.version
--- a/src/ferryledge/leases/_handover_notes.py
+++ b/src/ferryledge/leases/_handover_notes.py
@@ -23,7 +23,7 @@
         job: _jobs.Job,
         peer: str,
         cpu_millis: int,
-        heard_at: float,
+        reported_at: float,
     ) -> None:
         """Record that a job was offered to another entry."""
         self._meter.handover("offered")
@@ -35,7 +35,7 @@
             waited_s=round(now - job.arrived_at, 3),
             start_in_s=round(job.start_by - now, 3),
             left_cpu_millis=cpu_millis,
-            told_s=round(now - heard_at, 3),
+            told_s=round(now - reported_at, 3),
         )
 
     def accepted(self, now: float, job: _jobs.Job, peer: str) -> None:
@@ -81,8 +81,8 @@
             waited_s=round(now - job.arrived_at, 3),
         )
 
-    def handed_on_lost(
-        self, now: float, job: _jobs.Job, peer: str, signed_at: float
+    def handover_lost(
+        self, now: float, job: _jobs.Job, peer: str, renewed_at: float
     ) -> None:
         """Record that no renewal was requested for a job in time."""
         self._meter.handover("lost")
@@ -92,10 +92,10 @@
             job.name,
             peer,
             urgent=True,
-            signed_s=round(now - signed_at, 3),
+            signed_s=round(now - renewed_at, 3),
         )
 
-    def result_dropped(self, peer: str, handled: wire.JobHandled) -> None:
+    def result_ignored(self, peer: str, handled: wire.JobHandled) -> None:
         """Record a result that was ignored: the job isn't handed over."""
         self._meter.handover("dropped")
         self.add(
@@ -107,13 +107,13 @@
             offer=handled.number,
         )
 
-    def taken(
+    def offer_decided(
         self,
         now: float,
         offer: wire.OfferJob,
         peer: str,
         declined: wire.Declined | None,
-        told_at: float,
+        reported_at: float,
     ) -> None:
         """Record that an offer of another entry was accepted or declined."""
         self._meter.handover("turned_down" if declined else "taken")
@@ -126,10 +126,10 @@
             peer,
             reason=str(declined or ""),
             waited_s=round(offer.waited_s, 3),
-            told_s=round(now - told_at, 3),
+            told_s=round(now - reported_at, 3),
         )
 
-    def giver_silent(self, job: _jobs.Job, peer: str) -> None:
+    def lease_expired(self, job: _jobs.Job, peer: str) -> None:
         """Record that a job was stopped because its lease expired."""
         self._meter.handover("stopped")
         self.add(
--- a/src/ferryledge/leases/_incoming_handovers.py
+++ b/src/ferryledge/leases/_incoming_handovers.py
@@ -25,16 +25,16 @@
 from ferryledge import wire
 
 #: Seconds between renewal requests; well below the lifetime of the lease.
-_ASK_EVERY_S = 0.1
+_RENEWAL_INTERVAL_S = 0.1
 #: Largest number of jobs of other entries that are held.
-_MOST_HELD = 200
+_MAX_HELD_JOBS = 200
 #: Largest number of capacity reports that are remembered.
-_MOST_ROOMS = 200
+_MAX_REPORTS = 200
 _NEVER = float("inf")
 
 Send = abc.Callable[[str, wire.Message], None]
-Take = abc.Callable[[float, _jobs.Job], None]
-Drop = abc.Callable[[float, int, str], None]
+AddJob = abc.Callable[[float, _jobs.Job], None]
+DropRequest = abc.Callable[[float, int, str], None]
 
 
 class _Held(msgspec.Struct):
@@ -48,17 +48,17 @@
     job: _jobs.Job
 
 
-class _Giver(msgspec.Struct):
+class _Delegator(msgspec.Struct):
     """An entry for which jobs are held."""
 
     peer: str
     incarnation: str
-    next_ask_at: float
+    next_renewal_at: float
     #: Whether its stream is open.
     connected: bool = True
     #: Unanswered renewal requests by number: when each was sent, and the
     #: offers that it lists.
-    asks: dict[int, tuple[float, tuple[int, ...]]] = msgspec.field(
+    requests: dict[int, tuple[float, tuple[int, ...]]] = msgspec.field(
         default_factory=dict
     )
     #: Unconfirmed results, each with the number of the last request before it.
@@ -72,42 +72,42 @@
 
     :param incarnation: the incarnation of this process
     :param jobs: the jobs that this entry holds
-    :param room: the spare capacity of this entry
+    :param spare: the spare capacity of this entry
     :param run_times: estimates of run times
     :param notes: records decisions
     :param send: sends a message to an entry
-    :param take: adds a job to those that this entry runs
-    :param drop: cancels a request for a job, by its token
+    :param add_job: adds a job to those that this entry runs
+    :param drop_request: cancels a request for a job, by its token
     """
 
     def __init__(
         self,
         incarnation: str,
         jobs: _job_table.JobTable,
-        room: _spare_capacity.SpareCapacity,
+        spare: _spare_capacity.SpareCapacity,
         run_times: placement.RunTimes,
         notes: _entry_notes.EntryNotes,
         send: Send,
-        take: Take,
-        drop: Drop,
+        add_job: AddJob,
+        drop_request: DropRequest,
     ) -> None:
         self._incarnation = incarnation
         self._jobs = jobs
-        self._room = room
+        self._spare = spare
         self._run_times = run_times
         self._notes = notes
         self._send = send
-        self._take = take
-        self._drop = drop
+        self._add_job = add_job
+        self._drop_request = drop_request
         #: When each capacity report was sent, by its number.
-        self._told: dict[int, float] = {}
-        self._rooms = 0
+        self._reported_at: dict[int, float] = {}
+        self._last_report = 0
         #: Jobs by token. Tokens are negative; those of clients are positive.
         self._held: dict[int, _Held] = {}
-        self._tokens = 0
-        self._givers: dict[str, _Giver] = {}
-        self._asked = 0
-        self.is_leaving = False
+        self._last_token = 0
+        self._delegators: dict[str, _Delegator] = {}
+        self._last_request = 0
+        self.is_draining = False
 
     def __len__(self) -> int:
         return len(self._held)
@@ -115,64 +115,66 @@
     @property
     def due_at(self) -> float:
         """When to tick at the latest, in monotonic seconds."""
-        if not self._held and not self._givers:
+        if not self._held and not self._delegators:
             return _NEVER
-        asks = [
-            one.next_ask_at for one in self._givers.values() if one.connected
+        renewals = [
+            delegator.next_renewal_at
+            for delegator in self._delegators.values()
+            if delegator.connected
         ]
-        ends = [
-            signed_at + _outgoing_handovers.HEARD_WITHIN_S
-            for signed_at in self._jobs.authorised_at.values()
+        expiries = [
+            authorised_at + _outgoing_handovers.HANDOVER_LEASE_S
+            for authorised_at in self._jobs.authorised_at.values()
         ]
-        return min(asks + ends, default=_NEVER)
+        return min(renewals + expiries, default=_NEVER)
 
     # Offers.
 
-    def tell_room(self, now: float, peer: str, service: str) -> None:
+    def report_capacity(self, now: float, peer: str, service: str) -> None:
         """Report to an entry the capacity that its jobs could use."""
-        self._rooms += 1
-        self._told[self._rooms] = now
-        if len(self._told) > _MOST_ROOMS:
-            del self._told[next(iter(self._told))]
+        self._last_report += 1
+        self._reported_at[self._last_report] = now
+        if len(self._reported_at) > _MAX_REPORTS:
+            del self._reported_at[next(iter(self._reported_at))]
         cpu_millis = 0
-        if not self.is_leaving and len(self._held) < _MOST_HELD:
-            cpu_millis = self._room.cpu_millis(now, service)
-        message = wire.RoomTold(self._rooms, service, cpu_millis)
+        if not self.is_draining and len(self._held) < _MAX_HELD_JOBS:
+            cpu_millis = self._spare.cpu_millis(now, service)
+        message = wire.RoomTold(self._last_report, service, cpu_millis)
         self._send(peer, message)
 
-    def offered(self, now: float, peer: str, offer: wire.OfferJob) -> None:
+    def on_offer(self, now: float, peer: str, offer: wire.OfferJob) -> None:
         """Accept or decline an offer."""
-        job = self._job_of(now, offer)
-        declined = self._why_not(now, offer, job)
+        job = self._make_job(now, offer)
+        declined = self._reason_to_decline(now, offer, job)
         answer = wire.OfferAnswered(offer.delegator, offer.number, declined)
-        told_at = self._told.get(offer.room, -math.inf)
-        self._notes.taken(now, offer, peer, declined, told_at)
+        reported_at = self._reported_at.get(offer.room, -math.inf)
+        self._notes.offer_decided(now, offer, peer, declined, reported_at)
         if job is not None and declined is None:
-            self._hold(now, peer, offer, job, told_at)
+            self._hold(now, peer, offer, job, reported_at)
         self._send(peer, answer)
 
-    def _why_not(
+    def _reason_to_decline(
         self, now: float, offer: wire.OfferJob, job: _jobs.Job | None
     ) -> wire.Declined | None:
         """Return why an offer is declined; ``None`` if it is accepted."""
-        why = wire.Declined
-        told_at = self._told.get(offer.room, -math.inf)
+        reasons = wire.Declined
+        reported_at = self._reported_at.get(offer.room, -math.inf)
         if offer.delegate != self._incarnation:
-            return why.OLD
-        if now - told_at > _outgoing_handovers.ROOM_FOR_S:
-            return why.OLD
-        if self.is_leaving:
-            return why.LEAVING
+            return reasons.OLD
+        if now - reported_at > _outgoing_handovers.CAPACITY_VALID_S:
+            return reasons.OLD
+        if self.is_draining:
+            return reasons.LEAVING
         if job is None:
-            return why.MALFORMED
+            return reasons.MALFORMED
         name = offer.job
         if self._jobs.find(name) or self._jobs.was_complete(name):
-            return why.KNOWN
-        if not self._room.has_room(now, job):
-            return why.ROOM
+            return reasons.KNOWN
+        if not self._spare.can_start(now, job):
+            return reasons.ROOM
         return None
 
-    def _job_of(self, now: float, offer: wire.OfferJob) -> _jobs.Job | None:
+    def _make_job(self, now: float, offer: wire.OfferJob) -> _jobs.Job | None:
         """Return the offered job; ``None`` if the offer is malformed."""
         try:
             spec = wire.unpack_text(offer.packed_spec)
@@ -180,7 +182,7 @@
             return None
         if not offer.steps:
             return None
-        request = _request_of(offer, spec)
+        request = _make_request(offer, spec)
         estimate = max(step.estimate_s for step in request.steps)
         name = request.job_class.name
         return _jobs.Job(
@@ -199,38 +201,38 @@
         peer: str,
         offer: wire.OfferJob,
         job: _jobs.Job,
-        told_at: float,
+        reported_at: float,
     ) -> None:
-        self._tokens -= 1
-        job.tokens.append(self._tokens)
+        self._last_token -= 1
+        job.tokens.append(self._last_token)
         held = _Held(peer, offer.delegator, offer.number, job)
-        self._held[self._tokens] = held
-        self._jobs.authorised_at[job.name] = told_at
-        delegator = self._givers.get(peer)
+        self._held[self._last_token] = held
+        self._jobs.authorised_at[job.name] = reported_at
+        delegator = self._delegators.get(peer)
         if delegator is None or delegator.incarnation != offer.delegator:
             # Leases of a former incarnation expire, since nobody renews them.
-            due = now + _ASK_EVERY_S
-            self._givers[peer] = _Giver(peer, offer.delegator, due)
-        self._take(now, job)
+            due = now + _RENEWAL_INTERVAL_S
+            self._delegators[peer] = _Delegator(peer, offer.delegator, due)
+        self._add_job(now, job)
 
-    def withdrawn(self, now: float, message: wire.WithdrawJob) -> None:
+    def on_withdrawal(self, now: float, message: wire.WithdrawJob) -> None:
         """Stop a job that its delegator withdrew."""
-        self._drop_if(
+        self._drop_matching(
             now,
-            lambda one: (
-                one.delegator == message.delegator
-                and one.number == message.number
+            lambda held: (
+                held.delegator == message.delegator
+                and held.number == message.number
             ),
         )
 
-    def _drop_if(
-        self, now: float, is_one: abc.Callable[[_Held], bool]
+    def _drop_matching(
+        self, now: float, matches: abc.Callable[[_Held], bool]
     ) -> None:
         for token, held in list(self._held.items()):
-            if is_one(held):
+            if matches(held):
                 del self._held[token]
                 del self._jobs.authorised_at[held.job.name]
-                self._drop(now, token, held.job.name)
+                self._drop_request(now, token, held.job.name)
 
     def answer(self, token: int, outcome: outcomes.JobOutcome) -> None:
         """Report a job's result to its delegator."""
@@ -238,13 +240,13 @@
         if held is None:
             return
         del self._jobs.authorised_at[held.job.name]
-        delegator = self._givers.get(held.peer)
+        delegator = self._delegators.get(held.peer)
         if delegator is None or delegator.incarnation != held.delegator:
             return
-        handled = _handled_of(held, outcome)
-        delegator.unconfirmed.append((self._asked, handled))
+        result = _make_result(held, outcome)
+        delegator.unconfirmed.append((self._last_request, result))
         if delegator.connected:
-            self._send(held.peer, handled)
+            self._send(held.peer, result)
 
     # The lease.
 
@@ -252,60 +254,64 @@
         """Stop jobs with an expired lease; call before runs are ordered."""
         if not self._held:
             return
-        oldest = now - _outgoing_handovers.HEARD_WITHIN_S
+        oldest = now - _outgoing_handovers.HANDOVER_LEASE_S
         authorised_at = self._jobs.authorised_at
         for held in self._held.values():
             if authorised_at[held.job.name] <= oldest:
-                self._notes.giver_silent(held.job, held.peer)
-        self._drop_if(now, lambda one: authorised_at[one.job.name] <= oldest)
+                self._notes.lease_expired(held.job, held.peer)
+        self._drop_matching(
+            now, lambda held: authorised_at[held.job.name] <= oldest
+        )
 
-    def ask(self, now: float) -> None:
+    def request_renewals(self, now: float) -> None:
         """Send the renewal requests that are due."""
-        for delegator in list(self._givers.values()):
-            if not delegator.connected or now < delegator.next_ask_at:
+        for delegator in list(self._delegators.values()):
+            if not delegator.connected or now < delegator.next_renewal_at:
                 continue
             offers = tuple(
-                one.number
-                for one in self._held.values()
-                if one.peer == delegator.peer
-                and one.delegator == delegator.incarnation
+                held.number
+                for held in self._held.values()
+                if held.peer == delegator.peer
+                and held.delegator == delegator.incarnation
             )
             if not offers and not delegator.unconfirmed:
-                del self._givers[delegator.peer]
+                del self._delegators[delegator.peer]
                 continue
-            self._asked += 1
-            delegator.asks[self._asked] = (now, offers)
-            delegator.next_ask_at = now + _ASK_EVERY_S
+            self._last_request += 1
+            delegator.requests[self._last_request] = (now, offers)
+            delegator.next_renewal_at = now + _RENEWAL_INTERVAL_S
             message = wire.AskHandedIn(
-                delegator.incarnation, self._asked, offers
+                delegator.incarnation, self._last_request, offers
             )
             self._send(delegator.peer, message)
 
-    def granted(
+    def on_grant(
         self, now: float, peer: str, grant: wire.GrantHandedIn
     ) -> None:
         """Renew the leases that a grant lists; stop the other jobs."""
-        delegator = self._givers.get(peer)
+        delegator = self._delegators.get(peer)
         if delegator is None or delegator.incarnation != grant.delegator:
             return
         delegator.unconfirmed = [
-            one for one in delegator.unconfirmed if one[0] >= grant.number
+            result
+            for result in delegator.unconfirmed
+            if result[0] >= grant.number
         ]
-        ask = delegator.asks.pop(grant.number, None)
-        if ask is None:
+        request = delegator.requests.pop(grant.number, None)
+        if request is None:
             return
-        asked_at, asked = ask
-        for older in [one for one in delegator.asks if one < grant.number]:
-            del delegator.asks[older]
-        named = set(grant.offers)
+        requested_at, requested = request
+        for older in [n for n in delegator.requests if n < grant.number]:
+            del delegator.requests[older]
+        renewed = set(grant.offers)
         for held in self._held.values():
-            if held.delegator == grant.delegator and held.number in named:
-                self._jobs.authorised_at[held.job.name] = asked_at
-        dropped = set(asked) - named
-        self._drop_if(
+            if held.delegator == grant.delegator and held.number in renewed:
+                self._jobs.authorised_at[held.job.name] = requested_at
+        dropped = set(requested) - renewed
+        self._drop_matching(
             now,
-            lambda one: (
-                one.delegator == grant.delegator and one.number in dropped
+            lambda held: (
+                held.delegator == grant.delegator and held.number in dropped
             ),
         )
 
@@ -315,44 +321,46 @@
         Unconfirmed results are sent again. Jobs of a former incarnation are
         stopped.
         """
-        delegator = self._givers.get(hello.name)
+        delegator = self._delegators.get(hello.name)
         if delegator is None:
             return
         if delegator.incarnation != hello.incarnation:
-            del self._givers[hello.name]
-            self._drop_if(
+            del self._delegators[hello.name]
+            self._drop_matching(
                 now,
-                lambda one: (
-                    one.peer == hello.name
-                    and one.delegator != hello.incarnation
+                lambda held: (
+                    held.peer == hello.name
+                    and held.delegator != hello.incarnation
                 ),
             )
             return
         delegator.connected = True
-        delegator.asks.clear()
-        delegator.next_ask_at = now
-        results = [one for _, one in delegator.unconfirmed]
-        delegator.unconfirmed = [(self._asked, one) for one in results]
-        for one in results:
-            self._send(hello.name, one)
+        delegator.requests.clear()
+        delegator.next_renewal_at = now
+        results = [result for _, result in delegator.unconfirmed]
+        delegator.unconfirmed = [
+            (self._last_request, result) for result in results
+        ]
+        for result in results:
+            self._send(hello.name, result)
 
     def leave(self, peer: str) -> None:
         """Mark an entry as disconnected; its stream broke."""
-        delegator = self._givers.get(peer)
+        delegator = self._delegators.get(peer)
         if delegator is not None:
             delegator.connected = False
 
 
-def _request_of(offer: wire.OfferJob, spec: str) -> _jobs.LeasedJob:
-    one = offer.job_class
+def _make_request(offer: wire.OfferJob, spec: str) -> _jobs.LeasedJob:
+    offered = offer.job_class
     job_class = _jobs.JobClass(
-        one.name,
-        one.service,
-        one.priority,
-        one.attempts,
-        one.stretch,
-        one.target_s,
-        one.late_factor,
+        offered.name,
+        offered.service,
+        offered.priority,
+        offered.attempts,
+        offered.stretch,
+        offered.target_s,
+        offered.late_factor,
     )
     steps = tuple(
         _jobs.JobStep(
@@ -369,7 +377,7 @@
     return _jobs.LeasedJob(offer.job, job_class, spec, steps, offer.deadline_s)
 
 
-def _handled_of(held: _Held, outcome: outcomes.JobOutcome) -> wire.JobHandled:
+def _make_result(held: _Held, outcome: outcomes.JobOutcome) -> wire.JobHandled:
     """Return the result that is reported to the delegator.
 
     If this entry gave up for lack of time, the job is reported as stopped and
--- a/src/ferryledge/leases/_outgoing_handovers.py
+++ b/src/ferryledge/leases/_outgoing_handovers.py
@@ -10,7 +10,7 @@
 when the delegate's runs are over. The delegate holds a lease on the job: it
 starts with the offer, and the delegator renews it by its answers to the
 delegate's renewal requests, each of which lists the offers that go on. The
-lease expires :data:`HEARD_WITHIN_S` after the delegate sent the renewed
+lease expires :data:`HANDOVER_LEASE_S` after the delegate sent the renewed
 request, and the grants of the delegate's agents are shortened by the age of
 that request. So all runs are over ``LeaseTiming.over_after_s`` after the last
 renewal, as if this entry had granted them itself. Only then is the job run
@@ -34,27 +34,27 @@
 #: time after which a client whose entry is lost submits its job again. Should
 #: the delegate fail as well, the grants of its agents expire in their usual
 #: time after the last renewal.
-HEARD_WITHIN_S = 0.3
+HANDOVER_LEASE_S = 0.3
 #: Seconds for which the delegate accepts offers for capacity it reported.
-ROOM_FOR_S = 0.1
+CAPACITY_VALID_S = 0.1
 #: Seconds for which the delegator uses reported capacity; shorter, since the
 #: offer takes time to arrive.
-_ROOM_USED_FOR_S = 0.05
+_CAPACITY_USABLE_S = 0.05
 #: Entries that are asked for their capacity at once. The offer goes to the
 #: better of two that are chosen at random among those with enough capacity, so
 #: that delegators don't all choose the same one.
-_ASKED_AT_ONCE = 4
+_ENTRIES_PER_REQUEST = 4
 #: Seconds between capacity requests while some entry has capacity, and the
 #: upper bound of the backoff while none has.
-_ASK_EVERY_S = 0.04
-_ASK_SELDOM_S = 0.2
+_MIN_REQUEST_INTERVAL_S = 0.04
+_MAX_REQUEST_INTERVAL_S = 0.2
 #: Largest number of times that a job is offered.
-_MOST_OFFERS = 2
+_MAX_OFFERS = 2
 #: Seconds that a capacity request, an offer and the delegate's order take.
-LEAD_S = 0.05
+OFFER_LEAD_S = 0.05
 #: Run numbers that are reserved for one offer. Runs after it must have higher
 #: numbers, since an endpoint rejects run numbers of a task that it has seen.
-_RUNS_OF_AN_OFFER = 100
+_RUN_NUMBERS_PER_OFFER = 100
 
 Send = abc.Callable[[str, wire.Message], None]
 Finish = abc.Callable[[float, _jobs.Job, outcomes.JobOutcome], None]
@@ -67,12 +67,12 @@
     zone: str
 
 
-class _Room(msgspec.Struct):
+class _CapacityReport(msgspec.Struct):
     """The spare capacity that an entry reported."""
 
     number: int
     cpu_millis: int
-    heard_at: float
+    reported_at: float
 
 
 class Offer(msgspec.Struct):
@@ -84,10 +84,10 @@
     #: The peer's incarnation.
     delegate: str
     #: When the delegate's lease was last renewed, in monotonic seconds.
-    signed_at: float
+    renewed_at: float
     accepted: bool = False
     #: Whether the lease is no longer renewed.
-    is_given_up: bool = False
+    is_abandoned: bool = False
 
 
 class OutgoingHandovers:
@@ -114,24 +114,24 @@
     ) -> None:
         self._incarnation = incarnation
         self._zone = zone
-        self._over_after_s = ROOM_FOR_S + timing.over_after_s
+        self._over_after_s = CAPACITY_VALID_S + timing.over_after_s
         self._rng = rng
         self._notes = notes
         self._send = send
         self._finish = finish
         self._peers: dict[str, _Peer] = {}
-        self._rooms: dict[tuple[str, str], _Room] = {}
+        self._reports: dict[tuple[str, str], _CapacityReport] = {}
         self._offers: dict[int, Offer] = {}
-        self._count = 0
-        self._asked_at = float("-inf")
-        self._ask_every_s = _ASK_EVERY_S
+        self._last_number = 0
+        self._requested_at = float("-inf")
+        self._request_interval_s = _MIN_REQUEST_INTERVAL_S
 
     @property
-    def takers(self) -> int:
+    def delegate_count(self) -> int:
         """The number of entries that accept handovers."""
         return len(self._peers)
 
-    def has_taker_outside(self, cordons: _cordons.Cordons) -> bool:
+    def has_uncordoned_delegate(self, cordons: _cordons.Cordons) -> bool:
         """Return whether an entry outside the cordoned zones takes jobs."""
         return any(
             not cordons.covers(peer.zone) for peer in self._peers.values()
@@ -153,92 +153,106 @@
     def leave(self, name: str) -> None:
         """Remove an entry whose stream broke."""
         self._peers.pop(name, None)
-        for key in [key for key in self._rooms if key[0] == name]:
-            del self._rooms[key]
+        for key in [key for key in self._reports if key[0] == name]:
+            del self._reports[key]
 
-    def hear_room(self, now: float, peer: str, room: wire.RoomTold) -> None:
+    def note_capacity(
+        self, now: float, peer: str, report: wire.RoomTold
+    ) -> None:
         """Store the spare capacity that an entry reported."""
-        heard = _Room(room.number, room.cpu_millis, now)
-        self._rooms[peer, room.service] = heard
-        if room.cpu_millis:
-            self._ask_every_s = _ASK_EVERY_S
+        received = _CapacityReport(report.number, report.cpu_millis, now)
+        self._reports[peer, report.service] = received
+        if report.cpu_millis:
+            self._request_interval_s = _MIN_REQUEST_INTERVAL_S
 
     # Offers.
 
-    def plan(self, now: float, late: abc.Sequence[_jobs.Job]) -> None:
+    def offer_jobs(self, now: float, late: abc.Sequence[_jobs.Job]) -> None:
         """Offer jobs, and ask for the capacity that is missing.
 
         :param now: monotonic seconds
         :param late: jobs that would start too late here, most urgent first
         """
-        asked = set()
+        services = set()
         for job in late:
-            if job.is_incoming or job.offers >= _MOST_OFFERS:
+            if job.is_incoming or job.offers >= _MAX_OFFERS:
                 continue
             service = job.request.job_class.service
-            name = self._pick(now, service, _spare_capacity.cpu_millis_of(job))
+            name = self._choose_delegate(
+                now, service, _spare_capacity.startable_cpu_millis(job)
+            )
             if name is not None:
                 self._offer(now, job, name)
             else:
-                asked.add(service)
-        if asked and now - self._asked_at >= self._ask_every_s:
-            self._ask(now, sorted(asked))
+                services.add(service)
+        if services and now - self._requested_at >= self._request_interval_s:
+            self._request_capacity(now, sorted(services))
 
-    def _pick(self, now: float, service: str, cpu_millis: int) -> str | None:
+    def _choose_delegate(
+        self, now: float, service: str, cpu_millis: int
+    ) -> str | None:
         """Return an entry with capacity for a job; ``None`` without one."""
         fitting = [
             name
             for name, peer in self._peers.items()
-            if (room := self._rooms.get((name, service))) is not None
-            and now - room.heard_at <= _ROOM_USED_FOR_S
-            and room.cpu_millis >= cpu_millis
+            if (report := self._reports.get((name, service))) is not None
+            and now - report.reported_at <= _CAPACITY_USABLE_S
+            and report.cpu_millis >= cpu_millis
         ]
-        own = [n for n in fitting if self._peers[n].zone == self._zone]
-        names = own or fitting
+        in_zone = [n for n in fitting if self._peers[n].zone == self._zone]
+        names = in_zone or fitting
         if not names:
             return None
-        two = self._rng.sample(names, min(2, len(names)))
-        return max(two, key=lambda n: self._rooms[n, service].cpu_millis)
+        candidates = self._rng.sample(names, min(2, len(names)))
+        return max(
+            candidates, key=lambda n: self._reports[n, service].cpu_millis
+        )
 
-    def _ask(self, now: float, services: list[str]) -> None:
-        self._asked_at = now
+    def _request_capacity(self, now: float, services: list[str]) -> None:
+        self._requested_at = now
         # Back off until an entry reports capacity.
-        self._ask_every_s = min(_ASK_SELDOM_S, 2.0 * self._ask_every_s)
-        for name in self._asked_now():
+        self._request_interval_s = min(
+            _MAX_REQUEST_INTERVAL_S, 2.0 * self._request_interval_s
+        )
+        for name in self._entries_to_ask():
             for service in services:
                 self._send(name, wire.AskRoom(service))
 
-    def _asked_now(self) -> list[str]:
+    def _entries_to_ask(self) -> list[str]:
         """Return the entries to ask, half of them in this entry's zone."""
         names = list(self._peers)
         self._rng.shuffle(names)
-        own = [one for one in names if self._peers[one].zone == self._zone]
-        others = [one for one in names if one not in own]
-        half = max(_ASKED_AT_ONCE // 2, _ASKED_AT_ONCE - len(others))
-        chosen = own[:half]
-        return chosen + others[: _ASKED_AT_ONCE - len(chosen)]
+        in_zone = [n for n in names if self._peers[n].zone == self._zone]
+        others = [name for name in names if name not in in_zone]
+        half = max(
+            _ENTRIES_PER_REQUEST // 2, _ENTRIES_PER_REQUEST - len(others)
+        )
+        chosen = in_zone[:half]
+        return chosen + others[: _ENTRIES_PER_REQUEST - len(chosen)]
 
     def _offer(self, now: float, job: _jobs.Job, name: str) -> None:
         service = job.request.job_class.service
-        room = self._rooms[name, service]
-        room.cpu_millis -= _spare_capacity.cpu_millis_of(job)
-        self._count += 1
+        report = self._reports[name, service]
+        report.cpu_millis -= _spare_capacity.startable_cpu_millis(job)
+        self._last_number += 1
         peer = self._peers[name]
-        offer = Offer(self._count, job, name, peer.incarnation, now)
+        offer = Offer(self._last_number, job, name, peer.incarnation, now)
         self._offers[offer.number] = offer
-        message = _offer_of(now, offer, self._incarnation, room.number)
+        message = _make_offer(now, offer, self._incarnation, report.number)
         job.is_delegated = True
         job.offers += 1
         # From now on the job counts as possibly run.
         job.dispatched_at = now
-        self._notes.offered(now, job, name, room.cpu_millis, room.heard_at)
+        self._notes.offered(
+            now, job, name, report.cpu_millis, report.reported_at
+        )
         self._send(name, message)
 
-    def answered(
+    def on_offer_answered(
         self, now: float, peer: str, answer: wire.OfferAnswered
     ) -> None:
         """Handle the answer to an offer."""
-        offer = self._find(peer, answer.delegator, answer.number)
+        offer = self._find_offer(peer, answer.delegator, answer.number)
         if offer is None:
             return
         if answer.declined is None:
@@ -246,29 +260,33 @@
             self._notes.accepted(now, offer.job, peer)
             return
         self._notes.declined(now, offer.job, peer, answer.declined)
-        self._rooms.pop((peer, offer.job.request.job_class.service), None)
-        self._return_untried(offer)
+        self._reports.pop((peer, offer.job.request.job_class.service), None)
+        self._take_back_unrun(offer)
 
-    def handled(self, now: float, peer: str, handled: wire.JobHandled) -> None:
+    def on_job_handled(
+        self, now: float, peer: str, handled: wire.JobHandled
+    ) -> None:
         """Handle the result of a job that was handed over."""
-        offer = self._find(peer, handled.delegator, handled.number)
+        offer = self._find_offer(peer, handled.delegator, handled.number)
         if offer is None:
-            self._notes.result_dropped(peer, handled)
+            self._notes.result_ignored(peer, handled)
             return
         self._notes.handled(now, offer.job, peer, handled)
         match handled.how:
             case wire.HowHandled.NOT_RUN:
-                self._return_untried(offer)
+                self._take_back_unrun(offer)
             case wire.HowHandled.DONE:
-                self._bring_back(offer)
+                self._take_back(offer)
                 self._finish(now, offer.job, outcomes.Complete(()))
             case wire.HowHandled.FAILED:
-                offer.is_given_up = True
-                self._finish(now, offer.job, _failure_of(handled))
+                offer.is_abandoned = True
+                self._finish(now, offer.job, _make_failure(handled))
             case wire.HowHandled.STOPPED:
-                offer.is_given_up = True
+                offer.is_abandoned = True
 
-    def _find(self, peer: str, delegator: str, number: int) -> Offer | None:
+    def _find_offer(
+        self, peer: str, delegator: str, number: int
+    ) -> Offer | None:
         offer = self._offers.get(number)
         if (
             offer is None
@@ -278,71 +296,77 @@
             return None
         return offer
 
-    def _bring_back(self, offer: Offer) -> None:
+    def _take_back(self, offer: Offer) -> None:
         del self._offers[offer.number]
         offer.job.is_delegated = False
 
-    def _return_untried(self, offer: Offer) -> None:
+    def _take_back_unrun(self, offer: Offer) -> None:
         """Take back a job of which no task was run."""
-        self._bring_back(offer)
+        self._take_back(offer)
         offer.job.dispatched_at = None
 
     def withdraw(self, job: _jobs.Job) -> None:
         """Have the delegate stop a job that no client waits for."""
         for offer in self._offers.values():
-            if offer.job is job and not offer.is_given_up:
-                offer.is_given_up = True
+            if offer.job is job and not offer.is_abandoned:
+                offer.is_abandoned = True
                 message = wire.WithdrawJob(self._incarnation, offer.number)
                 self._send(offer.peer, message)
 
     # The lease.
 
-    def asked(self, now: float, peer: str, ask: wire.AskHandedIn) -> None:
+    def renew_leases(
+        self, now: float, peer: str, request: wire.AskHandedIn
+    ) -> None:
         """Renew the leases on the jobs that the delegate is to go on with."""
-        if ask.delegator != self._incarnation:
+        if request.delegator != self._incarnation:
             return
         renewed = []
-        for number in ask.offers:
-            offer = self._find(peer, ask.delegator, number)
-            if offer is not None and not self._is_lost(now, offer):
+        for number in request.offers:
+            offer = self._find_offer(peer, request.delegator, number)
+            if offer is not None and not self._is_expired(now, offer):
                 offer.accepted = True
-                offer.signed_at = now
+                offer.renewed_at = now
                 renewed.append(number)
-        grant = wire.GrantHandedIn(ask.delegator, ask.number, tuple(renewed))
+        grant = wire.GrantHandedIn(
+            request.delegator, request.number, tuple(renewed)
+        )
         self._send(peer, grant)
 
-    def _is_lost(self, now: float, offer: Offer) -> bool:
+    def _is_expired(self, now: float, offer: Offer) -> bool:
         """Return whether an offer's lease is no longer renewed."""
-        silent = now - offer.signed_at > HEARD_WITHIN_S + ROOM_FOR_S
-        return offer.is_given_up or silent
+        is_silent = (
+            now - offer.renewed_at > HANDOVER_LEASE_S + CAPACITY_VALID_S
+        )
+        return offer.is_abandoned or is_silent
 
     def _is_over(self, now: float, offer: Offer) -> bool:
         """Return whether no run of the job can be alive elsewhere."""
-        return now - offer.signed_at > self._over_after_s
+        return now - offer.renewed_at > self._over_after_s
 
-    def look(self, now: float) -> list[_jobs.Job]:
+    def take_back_expired(self, now: float) -> list[_jobs.Job]:
         """Take back the jobs whose runs must all be over elsewhere.
 
         :param now: monotonic seconds
         :return: the jobs; they are run here, or dropped if they are closed
         """
-        back = []
+        returned = []
         for offer in list(self._offers.values()):
-            if not offer.is_given_up and self._is_lost(now, offer):
-                offer.is_given_up = True
-                self._notes.handed_on_lost(
-                    now, offer.job, offer.peer, offer.signed_at
+            if not offer.is_abandoned and self._is_expired(now, offer):
+                offer.is_abandoned = True
+                self._notes.handover_lost(
+                    now, offer.job, offer.peer, offer.renewed_at
                 )
             if self._is_over(now, offer):
-                self._bring_back(offer)
+                self._take_back(offer)
                 for task in offer.job.all_tasks:
-                    task.run += _RUNS_OF_AN_OFFER
-                back.append(offer.job)
-        return back
+                    task.run += _RUN_NUMBERS_PER_OFFER
+                returned.append(offer.job)
+        return returned
 
 
-def _offer_of(
-    now: float, offer: Offer, delegator: str, room: int
+def _make_offer(
+    now: float, offer: Offer, delegator: str, report_number: int
 ) -> wire.OfferJob:
     request = offer.job.request
     job_class = request.job_class
@@ -350,7 +374,7 @@
         offer.number,
         delegator,
         offer.delegate,
-        room,
+        report_number,
         request.job,
         offer.job.pack_spec(),
         wire.OfferedClass(
@@ -379,8 +403,8 @@
     )
 
 
-def _failure_of(handled: wire.JobHandled) -> outcomes.FailedMayHaveRun:
+def _make_failure(handled: wire.JobHandled) -> outcomes.FailedMayHaveRun:
     origin = outcomes.Origin(outcomes.Step.RUN, handled.peer)
-    reasons = {str(one): one for one in outcomes.Reason}
+    reasons = {str(member): member for member in outcomes.Reason}
     reason = reasons.get(handled.reason, outcomes.Reason.TASK_FAILED)
     return outcomes.FailedMayHaveRun(reason, origin)
--- a/src/ferryledge/leases/_peers.py
+++ b/src/ferryledge/leases/_peers.py
@@ -17,10 +17,10 @@
 #: Seconds to wait for the store before a newer configuration is requested
 #: from a peer. Configurations are sent on request only, since a large one
 #: blocks a narrow link.
-_READ_ALONE_S = 0.3
+_STORE_WAIT_S = 0.3
 #: Seconds between keep-alive messages to another entry. They carry the version
 #: of the configuration, which must be in force within two to three seconds.
-_ALIVE_EVERY_S = 1.0
+_KEEP_ALIVE_INTERVAL_S = 1.0
 #: Seconds of silence after which the stream to another entry is closed and
 #: dialled again: two keep-alive messages are missing.
 _SILENCE_S = 2.2
@@ -31,17 +31,17 @@
     """A process with a stream to this entry."""
 
     role: wire.Role
-    heard_at: float
+    received_at: float
     #: Whether it understands messages about cordoned zones.
-    cordons: bool = False
+    takes_cordons: bool = False
     #: Whether it understands differences between configurations.
-    config_deltas: bool = False
+    takes_config_deltas: bool = False
     #: The version of the newest configuration that it is known to have.
     version: int = 0
     #: When the configuration was last requested from it.
-    asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
     #: When the last keep-alive message was sent to it.
-    told_at: float = float("-inf")
+    keep_alive_at: float = float("-inf")
 
 
 class EntryPeers:
@@ -61,7 +61,7 @@
         self._cordons = cordons
         self._exchange = _config_exchange.ConfigExchange()
         self._readers = _config_readers.ConfigReaders(is_narrow_link)
-        self._entries: dict[str, wire.EntryAddress] = {}
+        self._addresses: dict[str, wire.EntryAddress] = {}
         self._peers: dict[str, _Peer] = {}
         #: Since when some peer is known to have a newer configuration.
         self._behind_since: float | None = None
@@ -84,7 +84,7 @@
 
     def address_of(self, name: str) -> wire.EntryAddress | None:
         """Return an entry's address; ``None`` if it is unknown."""
-        return self._entries.get(name)
+        return self._addresses.get(name)
 
     def take_actions(self) -> list[_entry_events.EntryAction]:
         """Return the pending actions and clear them."""
@@ -106,31 +106,31 @@
             hello.config_version,
         )
         self._peers[hello.name] = peer
-        self._send(hello.name, self._list())
+        self._send(hello.name, self._entry_list())
         # Cordons go first: an entry takes jobs once it has a configuration.
         if self._cordons.state.version:
-            self._tell_cordons(hello.name)
+            self._send_cordons(hello.name)
         if self.version and hello.role is wire.Role.ENTRY:
             # The version in the greeting may be outdated by now.
-            self._send(hello.name, self._alive())
+            self._send(hello.name, self._keep_alive())
         if hello.reads_configs and self._readers.join(hello.name):
-            self._ask_reader()
+            self._request_from_reader()
         elif hello.name == self.config_reader:
             # The agent dropped the request when its former stream closed.
-            self._ask_reader()
+            self._request_from_reader()
 
     def leave(self, name: str) -> None:
         """Remove a peer whose stream broke."""
         self._peers.pop(name, None)
         if self._readers.leave(name):
-            self._ask_reader()
+            self._request_from_reader()
 
     def replace_config_reader(self) -> None:
         """Choose another agent as reader: the current one was too slow."""
-        if self._readers.fail():
-            self._ask_reader()
+        if self._readers.note_failure():
+            self._request_from_reader()
 
-    def _ask_reader(self) -> None:
+    def _request_from_reader(self) -> None:
         request = wire.ConfigRequest(self._exchange.digest, follow=True)
         self._send(self.config_reader, request)
 
@@ -139,17 +139,19 @@
 
         :param entries: the addresses, known ones included
         """
-        fresh = tuple(
-            one for one in entries if self._entries.get(one.name) != one
+        changed = tuple(
+            address
+            for address in entries
+            if self._addresses.get(address.name) != address
         )
-        if not fresh:
+        if not changed:
             return
-        self._entries.update({one.name: one for one in fresh})
-        self._actions.append(_entry_events.DialEntries(fresh))
+        self._addresses.update({address.name: address for address in changed})
+        self._actions.append(_entry_events.DialEntries(changed))
         # Peers were sent the known addresses when they joined.
-        news = wire.EntryList(fresh)
+        message = wire.EntryList(changed)
         for peer in self._peers:
-            self._send(peer, news)
+            self._send(peer, message)
 
     def learn_config(
         self, version: int, data: bytes, log_end: int = 0
@@ -166,7 +168,7 @@
         self._actions.append(_entry_events.ApplyConfig(version, data, log_end))
         self._behind_since = None
         for name in self.entry_names():
-            self._send(name, self._alive())
+            self._send(name, self._keep_alive())
 
     def apply_config_delta(self, name: str, delta: wire.ConfigDelta) -> None:
         """Apply a difference between configurations.
@@ -195,10 +197,10 @@
         peer = self._peers.get(name)
         if not self.version or peer is None:
             return
-        if peer.config_deltas:
+        if peer.takes_config_deltas:
             self._send(name, self._exchange.delta_for(request.digest))
         else:
-            self._send(name, self._reply())
+            self._send(name, self._config_reply())
 
     def note_version(self, name: str, version: int) -> None:
         """Record the version of a peer's configuration."""
@@ -211,20 +213,20 @@
 
         :param now: monotonic seconds
         """
-        newer = [
+        newer_peers = [
             name
             for name, peer in self._peers.items()
             if peer.version > self.version
         ]
-        if not newer:
+        if not newer_peers:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = now
-        elif now - self._behind_since >= _READ_ALONE_S:
+        elif now - self._behind_since >= _STORE_WAIT_S:
             self._behind_since = now
             # Round robin: a peer may be cut off in one direction.
-            name = min(newer, key=lambda one: self._peers[one].asked_at)
-            self._peers[name].asked_at = now
+            name = min(newer_peers, key=lambda n: self._peers[n].requested_at)
+            self._peers[name].requested_at = now
             self._send(name, wire.ConfigRequest(self._exchange.digest))
 
     def learn_cordons(self, state: wire.CordonedZones) -> bool:
@@ -236,7 +238,7 @@
         if not self._cordons.learn(state):
             return False
         for name in self._peers:
-            self._tell_cordons(name)
+            self._send_cordons(name)
         return True
 
     def reconcile_cordons(self, name: str, state: wire.CordonedZones) -> bool:
@@ -247,35 +249,35 @@
         :return: whether the state changed here
         """
         if self._cordons.is_behind(state):
-            self._tell_cordons(name)
+            self._send_cordons(name)
         return self.learn_cordons(state)
 
-    def _tell_cordons(self, name: str) -> None:
+    def _send_cordons(self, name: str) -> None:
         peer = self._peers.get(name)
-        if peer is not None and peer.cordons:
+        if peer is not None and peer.takes_cordons:
             self._send(name, self._cordons.state)
 
     def note_received(self, now: float, name: str) -> None:
         """Record that a message came from a peer."""
         peer = self._peers.get(name)
         if peer is not None:
-            peer.heard_at = now
+            peer.received_at = now
 
     def send_keep_alives(self, now: float) -> None:
         """Send due keep-alive messages; close silent streams of entries."""
         for name in self.entry_names():
             peer = self._peers[name]
-            if now - peer.heard_at > _SILENCE_S:
+            if now - peer.received_at > _SILENCE_S:
                 self._actions.append(_agent_events.CloseStream(name))
                 self.leave(name)
-            elif now - peer.told_at >= _ALIVE_EVERY_S:
-                peer.told_at = now
-                self._send(name, self._alive())
+            elif now - peer.keep_alive_at >= _KEEP_ALIVE_INTERVAL_S:
+                peer.keep_alive_at = now
+                self._send(name, self._keep_alive())
 
     def reset_silence_timers(self, now: float) -> None:
         """Reset all silence timers, since this process itself was paused."""
         for peer in self._peers.values():
-            peer.heard_at = now
+            peer.received_at = now
 
     def entry_names(self) -> list[str]:
         """Return the names of the entries with a stream to this one."""
@@ -285,13 +287,13 @@
             if peer.role is wire.Role.ENTRY
         ]
 
-    def _list(self) -> wire.EntryList:
-        return wire.EntryList(tuple(self._entries.values()))
+    def _entry_list(self) -> wire.EntryList:
+        return wire.EntryList(tuple(self._addresses.values()))
 
-    def _alive(self) -> wire.KeepAlive:
+    def _keep_alive(self) -> wire.KeepAlive:
         return wire.KeepAlive(self.version)
 
-    def _reply(self) -> wire.ConfigReply:
+    def _config_reply(self) -> wire.ConfigReply:
         return wire.ConfigReply(self.version, self._exchange.data)
 
     def _send(self, peer: str, message: wire.Message) -> None:
--- a/src/ferryledge/leases/_run_stopper.py
+++ b/src/ferryledge/leases/_run_stopper.py
@@ -17,7 +17,7 @@
 _FORGET_S = 10.0
 #: Stops of a run that are repeated as soon as an answer is overdue. Further
 #: ones are sent at longer intervals: the endpoint is probably cut off.
-_QUICK_STOPS = 3
+_FAST_REPEATS = 3
 
 Act = abc.Callable[[_agent_events.AgentAction], None]
 
@@ -79,7 +79,7 @@
             return
         row.state = _runs.RunState.STOPPING
         row.release_reason = release_reason
-        self._order(now, row)
+        self._send_stop(now, row)
 
     def stop_after_restart(self, now: float, row: _runs.RunRow) -> None:
         """Stop a run whose order may have reached a restarted endpoint.
@@ -93,9 +93,9 @@
         row.release_reason = row.release_reason or wire.NotStarted.NO_ANSWER
         row.expires_ms = 0
         row.stop_confirmed_at = None
-        self._order(now, row)
+        self._send_stop(now, row)
 
-    def _order(self, now: float, row: _runs.RunRow) -> None:
+    def _send_stop(self, now: float, row: _runs.RunRow) -> None:
         row.stop_sent_at = now
         row.stops_sent += 1
         self._unconfirmed[row.key] = row
@@ -127,10 +127,10 @@
         :param unclaimed_since: since when runs without an owner wait for an
             entry to claim them
         """
-        for owner in self._with_runs():
+        for owner in self._owners_with_runs():
             if not self._owners.has_grant(owner, now):
                 self._stop_without_grant(now, owner)
-        self._forget_lost(now)
+        self._forget_disconnected(now)
         if now - unclaimed_since > self._timing.grant_s:
             for row in self._runs.of_owner(""):
                 self.stop(now, row.key)
@@ -144,12 +144,12 @@
                 self._notes.grant_expired(now, owner, row)
             self.stop(now, row.key)
 
-    def _with_runs(self) -> list[_owners.Owner]:
+    def _owners_with_runs(self) -> list[_owners.Owner]:
         """Return the known entries that have runs here."""
-        found = [self._owners.find(one) for one in self._runs.owners()]
-        return [owner for owner in found if owner is not None]
+        owners = [self._owners.find(key) for key in self._runs.owners()]
+        return [owner for owner in owners if owner is not None]
 
-    def _forget_lost(self, now: float) -> None:
+    def _forget_disconnected(self, now: float) -> None:
         """Remove entries that have been disconnected for long."""
         for owner in self._owners.disconnected:
             if now - owner.granted_at > _FORGET_S:
@@ -160,13 +160,13 @@
             if self._runs.find(key) is not row:
                 del self._unconfirmed[key]
             elif now >= self._repeat_at(row):
-                self._order(now, row)
+                self._send_stop(now, row)
 
     def _repeat_at(self, row: _runs.RunRow) -> float:
         """Return when an unconfirmed stop is sent again."""
         if row.stop_sent_at is None:
             return float("inf")
-        if row.stops_sent > _QUICK_STOPS:
+        if row.stops_sent > _FAST_REPEATS:
             return row.stop_sent_at + self._timing.order_timeout_s
         return row.stop_sent_at + self._answer_times.limit_s
 
@@ -175,12 +175,12 @@
             return
         # The request or its answer may be lost: repeat it until a list comes.
         self._list_at = float("inf")
-        if any(self._waits_for_list(row) for row in self._runs):
+        if any(self._is_list_needed(row) for row in self._runs):
             self._list_at = now + self._answer_times.limit_s
         renewal = msgspec.structs.replace(self._link.renewal(now), wait_ms=0)
         self._act(_agent_events.ListRuns(renewal))
 
-    def _waits_for_list(self, row: _runs.RunRow) -> bool:
+    def _is_list_needed(self, row: _runs.RunRow) -> bool:
         """Return whether the next list may release a run's task.
 
         The end of a run that was already listed comes with a renewal.
@@ -190,13 +190,13 @@
 
     def due_at(self) -> float:
         """Return when to tick at the latest, in monotonic seconds."""
-        stops = [self._repeat_at(row) for row in self._unconfirmed.values()]
-        grants = [
+        repeats = [self._repeat_at(row) for row in self._unconfirmed.values()]
+        expiries = [
             owner.granted_at + self._timing.grant_s
-            for owner in self._with_runs()
+            for owner in self._owners_with_runs()
             if self._has_unstopped(owner.incarnation)
         ]
-        return min([*stops, *grants, self._list_at])
+        return min([*repeats, *expiries, self._list_at])
 
     def _has_unstopped(self, owner: str) -> bool:
         return any(
--- a/src/ferryledge/leases/_spare_capacity.py
+++ b/src/ferryledge/leases/_spare_capacity.py
@@ -16,10 +16,10 @@
 _JOB_BYTES = 400
 
 
-def cpu_millis_of(job: _jobs.Job) -> int:
+def startable_cpu_millis(job: _jobs.Job) -> int:
     """Return the CPU, in thousandths of a core, that a job can use now."""
     steps = job.request.steps
-    return sum(steps[one.step].need.cpu_millis for one in job.startable())
+    return sum(steps[task.step].need.cpu_millis for task in job.startable())
 
 
 class SpareCapacity:
@@ -61,7 +61,7 @@
                 continue
             if not job.is_incoming:
                 return 0
-            reserved += cpu_millis_of(job)
+            reserved += startable_cpu_millis(job)
         free = sum(
             max(0, row.free.cpu_millis)
             for row in self._pool
@@ -69,14 +69,14 @@
         )
         return max(0, free - reserved)
 
-    def has_room(self, now: float, job: _jobs.Job) -> bool:
+    def can_start(self, now: float, job: _jobs.Job) -> bool:
         """Return whether all first tasks of a new job could start now."""
         if _placement.is_infeasible(self._pool, job):
             return False
         service = job.request.job_class.service
-        return cpu_millis_of(job) <= self.cpu_millis(now, service)
+        return startable_cpu_millis(job) <= self.cpu_millis(now, service)
 
-    def may_differ(self, now: float, entries: int) -> bool:
+    def others_may_have_more(self, now: float, entries: int) -> bool:
         """Return whether other entries may have capacity that this one lacks.
 
         Usually they don't if all entries share all endpoints, except while
@@ -89,8 +89,8 @@
             return True
         return self._pool.sharing_entries(now) < entries + 0.5
 
-    def late(self, now: float, lead_s: float) -> list[_jobs.Job]:
-        """Return the untried jobs that would start too late here.
+    def late_jobs(self, now: float, lead_s: float) -> list[_jobs.Job]:
+        """Return the undispatched jobs that would start too late here.
 
         :param now: monotonic seconds
         :param lead_s: seconds before its latest start at which a job counts
@@ -98,17 +98,17 @@
         :return: the jobs, most urgent first
         """
         late = []
-        ahead: dict[str, float] = {}
-        link_s = self._link.wait_s(now)
+        queued_work: dict[str, float] = {}
+        link_wait_s = self._link.wait_s(now)
         for job in self._job_ranking.sort(now, self._jobs.undispatched, 0.0):
             service = job.request.job_class.service
-            work = ahead.get(service, 0.0) + job.work
-            wait_s = self._wait_s(now, job, work) + link_s
+            work = queued_work.get(service, 0.0) + job.work
+            wait_s = self._wait_s(now, job, work) + link_wait_s
             if now + wait_s + lead_s > job.start_by:
                 late.append(job)
             else:
-                ahead[service] = work
-                link_s += self._link_s(job)
+                queued_work[service] = work
+                link_wait_s += self._transfer_s(job)
         return late
 
     def _wait_s(self, now: float, job: _jobs.Job, work: float) -> float:
@@ -124,6 +124,6 @@
             return math.inf
         return work * self._pool.sharing_entries(now, service) / cores
 
-    def _link_s(self, job: _jobs.Job) -> float:
+    def _transfer_s(self, job: _jobs.Job) -> float:
         size = len(job.request.spec) + _JOB_BYTES
         return size / self._link.bytes_per_s
--- a/src/ferryledge/leases/_stream_watch.py
+++ b/src/ferryledge/leases/_stream_watch.py
@@ -16,10 +16,10 @@
 _RETRY_S = 0.3
 #: Largest number of false alarms by which the interval is doubled. There is
 #: then about one attempt until a silent stream is closed.
-_MOST_ALARMS = 2
+_MAX_FALSE_ALARMS = 2
 #: Delay of a check, in seconds, from which on this process itself counts as
 #: paused or busy: it may have unread answers.
-_LATE_LOOK_S = 0.03
+_PAUSE_S = 0.03
 
 Act = abc.Callable[[_agent_events.AgentAction], None]
 
@@ -42,14 +42,14 @@
         self._notes = notes
         self._act = act
         #: When the process ticks next at the latest.
-        self._look_at = float("inf")
+        self._next_tick_at = float("inf")
 
     def note_next_tick(self, at: float) -> None:
         """Set the time by which the process is due to tick.
 
         :param at: monotonic seconds
         """
-        self._look_at = at
+        self._next_tick_at = at
 
     def note_answer(
         self, now: float, owner: _owners.Owner, number: int
@@ -65,7 +65,7 @@
             return
         if owner.reopening:
             owner.reopening = False
-            owner.false_alarms = min(_MOST_ALARMS, owner.false_alarms + 1)
+            owner.false_alarms = min(_MAX_FALSE_ALARMS, owner.false_alarms + 1)
             self._act(_agent_events.CancelReopen(owner.name))
         elif not late:
             owner.false_alarms = max(0, owner.false_alarms - 1)
@@ -83,7 +83,7 @@
         awaiting_answer = self._owners.awaiting_answer
         if not awaiting_answer:
             return []
-        if now - self._look_at > _LATE_LOOK_S:
+        if now - self._next_tick_at > _PAUSE_S:
             for owner in awaiting_answer:
                 owner.unanswered_asks = dict.fromkeys(
                     owner.unanswered_asks, now
--- a/src/ferryledge/leases/_uplink.py
+++ b/src/ferryledge/leases/_uplink.py
@@ -16,7 +16,7 @@
 _USABLE_SHARE = 0.8
 #: Longest wait at the link, in seconds, at which new work is still sent. An
 #: order that waits too long is void: it relies on a grant that has expired.
-_MOST_WAIT_S = 0.03
+_MAX_WAIT_S = 0.03
 #: Seconds over which the use of the link is averaged.
 AVERAGING_S = 0.5
 #: Utilization from which it pays to compress what is sent.
@@ -30,7 +30,7 @@
 _DELTA_BYTES = 100
 #: Estimated bytes of an address in a list, and of any other message.
 _ADDRESS_BYTES = 40
-_SMALL_BYTES = 20
+_OTHER_BYTES = 20
 
 
 class Uplink:
@@ -41,9 +41,9 @@
 
     def __init__(self, bytes_per_s: float = math.inf) -> None:
         self._bytes_per_s = _USABLE_SHARE * bytes_per_s
-        self._queued = 0.0
-        self._lately = 0.0
-        self._at = 0.0
+        self._queued_bytes = 0.0
+        self._recent_bytes = 0.0
+        self._updated_at = 0.0
 
     @property
     def bytes_per_s(self) -> float:
@@ -57,21 +57,21 @@
         :param size: its size in bytes
         """
         self._advance(now)
-        self._queued += size + PACKET_BYTES
-        self._lately += size + PACKET_BYTES
+        self._queued_bytes += size + PACKET_BYTES
+        self._recent_bytes += size + PACKET_BYTES
 
     def wait_s(self, now: float) -> float:
         """Return the seconds that a message sent now waits at the link."""
         self._advance(now)
-        return self._queued / self._bytes_per_s
+        return self._queued_bytes / self._bytes_per_s
 
     def is_free(self, now: float) -> bool:
         """Return whether the queue is short enough to send new work."""
-        return self.wait_s(now) <= _MOST_WAIT_S
+        return self.wait_s(now) <= _MAX_WAIT_S
 
     def free_at(self, now: float) -> float:
         """Return when the queue is short enough to send new work."""
-        return now + max(0.0, self.wait_s(now) - _MOST_WAIT_S)
+        return now + max(0.0, self.wait_s(now) - _MAX_WAIT_S)
 
     def is_busy(self, now: float) -> bool:
         """Return whether recent traffic used much of the link."""
@@ -83,27 +83,27 @@
     def recent_bytes(self, now: float) -> float:
         """Return the bytes sent recently, with exponential decay."""
         self._advance(now)
-        return self._lately
+        return self._recent_bytes
 
     def _advance(self, now: float) -> None:
-        passed = now - self._at
-        if passed <= 0.0:
+        elapsed = now - self._updated_at
+        if elapsed <= 0.0:
             return
-        self._at = now
-        self._lately *= math.exp(-passed / AVERAGING_S)
+        self._updated_at = now
+        self._recent_bytes *= math.exp(-elapsed / AVERAGING_S)
         if math.isinf(self._bytes_per_s):
-            self._queued = 0.0
+            self._queued_bytes = 0.0
         else:
-            left = self._queued - passed * self._bytes_per_s
-            self._queued = max(0.0, left)
+            remaining = self._queued_bytes - elapsed * self._bytes_per_s
+            self._queued_bytes = max(0.0, remaining)
 
 
 def size_of(message: wire.Message) -> int:
     """Estimate the size of a message in bytes, without encoding it."""
     match message:
         case wire.OrderRuns():
-            texts = len(message.spec) + len(message.packed_spec)
-            return texts + _ORDER_BYTES + _RUN_BYTES * len(message.runs)
+            spec_bytes = len(message.spec) + len(message.packed_spec)
+            return spec_bytes + _ORDER_BYTES + _RUN_BYTES * len(message.runs)
         case wire.OfferJob():
             return len(message.packed_spec) + _ORDER_BYTES
         case wire.ConfigReply(_, data):
@@ -113,4 +113,4 @@
         case wire.EntryList(entries):
             return _ADDRESS_BYTES * len(entries)
         case _:
-            return _SMALL_BYTES
+            return _OTHER_BYTES
--- a/src/ferryledge/leases/tests/test_handover_mutations.py
+++ b/src/ferryledge/leases/tests/test_handover_mutations.py
@@ -94,7 +94,7 @@
     hello: wire.Hello,
 ) -> None:
     """Forget results that the giver has not confirmed."""
-    for giver in handed_in._givers.values():
+    for giver in handed_in._delegators.values():
         giver.unconfirmed = []
     _JOIN(handed_in, now, hello)
 
@@ -103,7 +103,7 @@
     "the giver runs it again at once": test_mutations.Mutation(
         _outgoing_handovers.OutgoingHandovers,
         "_is_over",
-        lambda _, now, offer: offer.is_given_up,
+        lambda _, now, offer: offer.is_abandoned,
         _all_cut_off,
     ),
     "grants last as long as for own runs": test_mutations.Mutation(
--- a/src/ferryledge/leases/tests/test_outgoing_handovers.py
+++ b/src/ferryledge/leases/tests/test_outgoing_handovers.py
@@ -43,7 +43,9 @@
 
     def tell(self, now: float, name: str, cpu_millis: int) -> None:
         """Let an entry tell its room."""
-        self.core.hear_room(now, name, wire.RoomTold(7, "desk", cpu_millis))
+        self.core.note_capacity(
+            now, name, wire.RoomTold(7, "desk", cpu_millis)
+        )
 
     def asked(self) -> list[str]:
         """Return the entries that were asked."""
@@ -74,7 +76,7 @@
 def test_it_asks_four_half_of_them_in_its_zone(delegator: Giver) -> None:
     delegator.join(*(f"near-{n}" for n in range(8)))
     delegator.join(*(f"far-{n}" for n in range(8)), zone="south")
-    delegator.core.plan(0.0, [_job()])
+    delegator.core.offer_jobs(0.0, [_job()])
     zones = collections.Counter(
         one.partition("-")[0] for one in delegator.asked()
     )
@@ -84,7 +86,7 @@
 def test_it_asks_less_often_while_none_has_room(delegator: Giver) -> None:
     delegator.join("entry-1")
     for tick in range(100):
-        delegator.core.plan(tick * 0.01, [_job()])
+        delegator.core.offer_jobs(tick * 0.01, [_job()])
     assert len(delegator.asked()) < 9
 
 
@@ -93,21 +95,21 @@
     delegator.join("entry-2", zone="south")
     delegator.tell(0.0, "entry-1", 1000)
     delegator.tell(0.0, "entry-2", 8000)
-    delegator.core.plan(0.01, [_job(0), _job(1)])
+    delegator.core.offer_jobs(0.01, [_job(0), _job(1)])
     assert [name for name, _ in delegator.offers()] == ["entry-1", "entry-2"]
 
 
 def test_it_counts_what_it_offered(delegator: Giver) -> None:
     delegator.join("entry-1")
     delegator.tell(0.0, "entry-1", 2500)
-    delegator.core.plan(0.01, [_job(number) for number in range(5)])
+    delegator.core.offer_jobs(0.01, [_job(number) for number in range(5)])
     assert len(delegator.offers()) == 2
 
 
 def test_it_goes_by_no_old_word(delegator: Giver) -> None:
     delegator.join("entry-1")
     delegator.tell(0.0, "entry-1", 8000)
-    delegator.core.plan(_outgoing_handovers.ROOM_FOR_S, [_job()])
+    delegator.core.offer_jobs(_outgoing_handovers.CAPACITY_VALID_S, [_job()])
     assert not delegator.offers()
 
 
@@ -116,7 +118,7 @@
     delegator.tell(0.0, "entry-1", 8000)
     job = _job()
     job.is_incoming = True
-    delegator.core.plan(0.01, [job])
+    delegator.core.offer_jobs(0.01, [job])
     assert not delegator.sent
 
 
@@ -124,7 +126,7 @@
     delegator.join("entry-1")
     delegator.tell(0.0, "entry-1", 8000)
     job = _job()
-    delegator.core.plan(0.01, [job])
+    delegator.core.offer_jobs(0.01, [job])
     return job, delegator.offers()[0][1]
 
 
@@ -133,7 +135,7 @@
     assert job.is_dispatched
     declined = wire.Declined.ROOM
     answer = wire.OfferAnswered(offer.delegator, offer.number, declined)
-    delegator.core.answered(0.02, "entry-1", answer)
+    delegator.core.on_offer_answered(0.02, "entry-1", answer)
     assert not job.is_dispatched
     assert not job.is_delegated
 
@@ -152,7 +154,7 @@
     _, offer = _offered(delegator)
     named = {"delegator": offer.delegator, "number": offer.number} | change
     handled = wire.JobHandled(how=wire.HowHandled.DONE, **named)
-    delegator.core.handled(0.1, peer, handled)
+    delegator.core.on_job_handled(0.1, peer, handled)
     assert not delegator.finished
 
 
@@ -161,11 +163,11 @@
 ) -> None:
     job, offer = _offered(delegator)
     ask = wire.AskHandedIn(offer.delegator, 1, (offer.number,))
-    delegator.core.asked(0.1, "entry-1", ask)
+    delegator.core.renew_leases(0.1, "entry-1", ask)
     over_after_s = leases.LeaseTiming().over_after_s
-    assert not delegator.core.look(0.1 + over_after_s)
-    assert delegator.core.look(
-        0.11 + over_after_s + _outgoing_handovers.ROOM_FOR_S
+    assert not delegator.core.take_back_expired(0.1 + over_after_s)
+    assert delegator.core.take_back_expired(
+        0.11 + over_after_s + _outgoing_handovers.CAPACITY_VALID_S
     )
     assert not job.is_delegated
     assert job.is_dispatched
@@ -173,7 +175,7 @@
 
 def test_a_lost_job_gets_no_sign_any_more(delegator: Giver) -> None:
     _, offer = _offered(delegator)
-    delegator.core.look(1.0)
+    delegator.core.take_back_expired(1.0)
     ask = wire.AskHandedIn(offer.delegator, 1, (offer.number,))
-    delegator.core.asked(1.0, "entry-1", ask)
+    delegator.core.renew_leases(1.0, "entry-1", ask)
     assert delegator.sent[-1][1] == wire.GrantHandedIn(offer.delegator, 1, ())
