--- a/src/ferryledge/leases/tests/handovers.py
+++ b/src/ferryledge/leases/tests/handovers.py
@@ -1,4 +1,4 @@
-"""A job that one entry hands on to another, and faults on its way."""
+"""Handover of a job between entries with faults at each of its steps."""
 
 from collections import abc
 import dataclasses
@@ -9,63 +9,65 @@
 from ferryledge import loads as worlds
 from ferryledge import wire
 
-GIVER = "entry-0"
+DELEGATOR = "entry-0"
 JOB = "a" * 16
 TASKS = 4
-#: Seconds for which the giver hears none of its agents.
+#: Seconds for which the delegator is cut off from its agents.
 CUT_S = 2.2
-#: Seconds after which it takes them for gone.
+#: Seconds after which it treats them as lost.
 _GONE_S = 1.4
-_LOOK_S = 0.0002
+_POLL_S = 0.0002
 
 Strike = abc.Callable[[worlds.World, str], None]
 
 
 def _cut(source: str, target: str, for_s: float, both: bool) -> Strike:
-    """Cut what giver and taker send to each other."""
+    """Return a fault that cuts the link between the two entries."""
 
-    def strike(world: worlds.World, taker: str) -> None:
-        ends = {"giver": GIVER, "taker": taker}
+    def strike(world: worlds.World, delegate: str) -> None:
+        ends = {"delegator": DELEGATOR, "delegate": delegate}
         world.cut(ends[source], ends[target], for_s, both)
 
     return strike
 
 
-def _silence(world: worlds.World, taker: str) -> None:
-    world.silence_stream(min(GIVER, taker), max(GIVER, taker))
+def _silence(world: worlds.World, delegate: str) -> None:
+    world.silence_stream(min(DELEGATOR, delegate), max(DELEGATOR, delegate))
 
 
 def _both_killed(gap_s: float) -> Strike:
-    """Kill the giver, and soon after that the taker."""
+    """Return a fault that kills the delegator, then the delegate."""
 
-    def strike(world: worlds.World, taker: str) -> None:
-        world.kill(GIVER, 3.0)
-        world.at(gap_s, functools.partial(world.kill, taker, 3.0))
+    def strike(world: worlds.World, delegate: str) -> None:
+        world.kill(DELEGATOR, 3.0)
+        world.at(gap_s, functools.partial(world.kill, delegate, 3.0))
 
     return strike
 
 
-def _giver_lost_taker_cut_off(world: worlds.World, taker: str) -> None:
-    world.kill(GIVER, 3.0)
+def _delegator_lost_delegate_cut_off(
+    world: worlds.World, delegate: str
+) -> None:
+    world.kill(DELEGATOR, 3.0)
     for agent in world.agents:
-        world.cut(taker, agent, 3.0, both=False)
+        world.cut(delegate, agent, 3.0, both=False)
 
 
-def _taker_cut_off(world: worlds.World, taker: str) -> None:
+def _delegate_cut_off(world: worlds.World, delegate: str) -> None:
     for agent in world.agents:
-        world.cut(taker, agent, 3.0)
+        world.cut(delegate, agent, 3.0)
 
 
-def _power_lost(world: worlds.World, taker: str) -> None:
-    """Let a machine go away without a word to its peers."""
+def _power_lost(world: worlds.World, delegate: str) -> None:
+    """Stop the delegator without closing its streams."""
     for other in world.entries:
-        if other != GIVER:
-            world.cut(GIVER, other, 3.0)
-    world.kill(GIVER, 3.0)
+        if other != DELEGATOR:
+            world.cut(DELEGATOR, other, 3.0)
+    world.kill(DELEGATOR, 3.0)
 
 
 def _leave(world: worlds.World, _: str) -> None:
-    world.post(GIVER, leases.ClientLeft(_token(world), JOB))
+    world.post(DELEGATOR, leases.ClientLeft(_token(world), JOB))
 
 
 def _token(world: worlds.World) -> int:
@@ -73,76 +75,94 @@
 
 
 FAULTS: dict[str, Strike] = {
-    "nothing": lambda world, taker: None,
-    "giver killed": lambda world, taker: world.kill(GIVER),
-    "giver down for long": lambda world, taker: world.kill(GIVER, 4.0),
-    "giver without power": _power_lost,
-    "giver paused": lambda world, taker: world.pause(GIVER, 0.5),
-    "giver paused for long": lambda world, taker: world.pause(GIVER, 3.0),
-    "taker killed": lambda world, taker: world.kill(taker),
-    "taker down for long": lambda world, taker: world.kill(taker, 4.0),
-    "taker paused": lambda world, taker: world.pause(taker, 0.5),
-    "taker paused for long": lambda world, taker: world.pause(taker, 3.0),
+    "nothing": lambda world, delegate: None,
+    "delegator killed": lambda world, delegate: world.kill(DELEGATOR),
+    "delegator down for long": lambda world, delegate: world.kill(
+        DELEGATOR, 4.0
+    ),
+    "delegator without power": _power_lost,
+    "delegator paused": lambda world, delegate: world.pause(DELEGATOR, 0.5),
+    "delegator paused for long": lambda world, delegate: world.pause(
+        DELEGATOR, 3.0
+    ),
+    "delegate killed": lambda world, delegate: world.kill(delegate),
+    "delegate down for long": lambda world, delegate: world.kill(
+        delegate, 4.0
+    ),
+    "delegate paused": lambda world, delegate: world.pause(delegate, 0.5),
+    "delegate paused for long": lambda world, delegate: world.pause(
+        delegate, 3.0
+    ),
     "both killed": _both_killed(0.0),
     "both killed in turn": _both_killed(0.15),
     "both killed in turn, later": _both_killed(0.29),
-    "giver killed, taker cut off from agents": _giver_lost_taker_cut_off,
-    "taker cut off from agents": _taker_cut_off,
-    "stream reset": lambda world, taker: world.break_stream(GIVER, taker),
+    "delegator killed, delegate cut off from agents": _delegator_lost_delegate_cut_off,
+    "delegate cut off from agents": _delegate_cut_off,
+    "stream reset": lambda world, delegate: world.break_stream(
+        DELEGATOR, delegate
+    ),
     "stream silent for good": _silence,
-    "cut": _cut("giver", "taker", 3.0, True),
-    "cut for a moment": _cut("giver", "taker", 0.5, True),
-    "cut towards the taker": _cut("giver", "taker", 3.0, False),
-    "cut towards the taker for a moment": _cut("giver", "taker", 0.3, False),
-    "cut towards the giver": _cut("taker", "giver", 3.0, False),
-    "cut towards the giver for a moment": _cut("taker", "giver", 0.3, False),
+    "cut": _cut("delegator", "delegate", 3.0, True),
+    "cut for a moment": _cut("delegator", "delegate", 0.5, True),
+    "cut towards the delegate": _cut("delegator", "delegate", 3.0, False),
+    "cut towards the delegate for a moment": _cut(
+        "delegator", "delegate", 0.3, False
+    ),
+    "cut towards the delegator": _cut("delegate", "delegator", 3.0, False),
+    "cut towards the delegator for a moment": _cut(
+        "delegate", "delegator", 0.3, False
+    ),
     "client left": _leave,
-    "cancelled": lambda world, taker: world.post(
-        GIVER, leases.JobCancelled(JOB)
+    "cancelled": lambda world, delegate: world.post(
+        DELEGATOR, leases.JobCancelled(JOB)
+    ),
+    "delegate stops": lambda world, delegate: world.post(
+        delegate, leases.EntryStop()
+    ),
+    "delegator stops": lambda world, delegate: world.post(
+        DELEGATOR, leases.EntryStop()
     ),
-    "taker stops": lambda world, taker: world.post(taker, leases.EntryStop()),
-    "giver stops": lambda world, taker: world.post(GIVER, leases.EntryStop()),
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """A message that was sent, and how long ago."""
+    """A step of a handover: a message, and the time since it was sent."""
 
     message: type[wire.Message]
     after_s: float
 
 
 STEPS: dict[str, Step] = {
-    "room asked": Step(wire.AskRoom, 0.0003),
+    "capacity requested": Step(wire.AskRoom, 0.0003),
     "offer on its way": Step(wire.OfferJob, 0.0003),
-    "offer taken": Step(wire.OfferAnswered, 0.0003),
+    "offer accepted": Step(wire.OfferAnswered, 0.0003),
     "answered": Step(wire.OfferAnswered, 0.0009),
     "started": Step(wire.OfferAnswered, 0.004),
-    "right asked": Step(wire.AskHandedIn, 0.0003),
-    "right given": Step(wire.GrantHandedIn, 0.0003),
+    "renewal requested": Step(wire.AskHandedIn, 0.0003),
+    "lease renewed": Step(wire.GrantHandedIn, 0.0003),
     "running": Step(wire.GrantHandedIn, 0.07),
     "result on its way": Step(wire.JobHandled, 0.0003),
-    "result told": Step(wire.JobHandled, 0.0009),
+    "result reported": Step(wire.JobHandled, 0.0009),
 }
 
 
 def make_world(seed: int, cut_s: float = CUT_S) -> worlds.World:
-    """Return a world in which an entry is cut off from all agents.
+    """Return a world in which the delegator is cut off from all agents.
 
-    :param seed: of all randomness
-    :param cut_s: for how long it is
+    :param seed: seed of all randomness
+    :param cut_s: how long it stays cut off after it noticed, in seconds
     """
     world = worlds.World(seed, entries=3, agents=4, peers=True)
     world.run(4.0)
     for agent in world.agents:
-        world.cut(GIVER, agent, _GONE_S + cut_s)
+        world.cut(DELEGATOR, agent, _GONE_S + cut_s)
     world.run(_GONE_S)
     return world
 
 
-def _taker(world: worlds.World) -> str:
-    """Return the entry that holds the job, or is likely to get it."""
+def _find_delegate(world: worlds.World) -> str:
+    """Return the entry that holds the job, or else a likely one."""
     for name in world.entries[1:]:
         node = world.nodes[name]
         if node.alive and node.core.holds(JOB):
@@ -157,29 +177,29 @@
     work_s: float = 0.8,
     cut_s: float = CUT_S,
 ) -> worlds.World:
-    """Strike at a step of a job that is handed on; let all settle."""
+    """Play a handover, cause a fault at a step, and run to the end."""
     world = make_world(seed, cut_s)
-    world.submit(GIVER, JOB, TASKS, work_s, deadline_s=6.0)
-    life = world.nodes[GIVER].life
+    world.submit(DELEGATOR, JOB, TASKS, work_s, deadline_s=6.0)
+    life = world.nodes[DELEGATOR].life
     sent = world.sent[step.message]
 
     def repeat(entry: str) -> None:
-        """Send the job again if its entry was lost."""
+        """Submit the job again, as the client of a lost entry does."""
         world.submit(entry, JOB, TASKS, work_s, deadline_s=6.0)
 
-    def hit() -> None:
-        taker = _taker(world)
-        strike(world, taker)
-        if world.nodes[GIVER].life != life:
-            other = "entry-2" if taker == "entry-1" else "entry-1"
+    def strike_now() -> None:
+        delegate = _find_delegate(world)
+        strike(world, delegate)
+        if world.nodes[DELEGATOR].life != life:
+            other = "entry-2" if delegate == "entry-1" else "entry-1"
             world.at(faults.REPEAT_S, functools.partial(repeat, other))
 
-    def look() -> None:
+    def poll() -> None:
         if world.sent[step.message] > sent:
-            world.at(step.after_s, hit)
+            world.at(step.after_s, strike_now)
         else:
-            world.at(_LOOK_S, look)
+            world.at(_POLL_S, poll)
 
-    look()
+    poll()
     world.run(9.0)
     return world
--- a/src/ferryledge/leases/tests/test_config_exchange.py
+++ b/src/ferryledge/leases/tests/test_config_exchange.py
@@ -1,7 +1,6 @@
-"""What changed in a configuration is sent, and proved.
+"""Configurations are transferred as verified differences.
 
-Entries sent each other the whole of a configuration, and each read it whole
-from the store: 200 kB for a changed line, three times a second.
+Guards against sending a whole configuration for every small change.
 """
 
 import json
@@ -20,7 +19,7 @@
 
 
 def _config(version: int, changed: int = 0, routes: int = _ROUTES) -> bytes:
-    """Return a configuration of which some routes are not as usual."""
+    """Return a configuration in which the first routes are changed."""
     rng = random.Random(1)
     table = [
         {
@@ -33,7 +32,7 @@
     return json.dumps({"Version": version, "Routes": table}).encode()
 
 
-def _holder(*configs: tuple[int, bytes]) -> leases.ConfigExchange:
+def _exchange(*configs: tuple[int, bytes]) -> leases.ConfigExchange:
     exchange = leases.ConfigExchange()
     for version, data in configs:
         exchange.learn(version, data, version)
@@ -56,40 +55,43 @@
         b"",
     ],
 )
-def test_difference_makes_the_new_one(new: bytes) -> None:
+def test_difference_restores_new_configuration(new: bytes) -> None:
     old = (1, _config(1))
-    giver = _holder(old, (2, new))
-    taker = _holder(old)
-    assert taker.restore(giver.delta_for(taker.digest)) == new
+    sender = _exchange(old, (2, new))
+    receiver = _exchange(old)
+    assert receiver.restore(sender.delta_for(receiver.digest)) == new
 
 
-def test_difference_costs_what_changed() -> None:
+def test_difference_is_small_for_small_change() -> None:
     old = (1, _config(1))
-    giver = _holder(old, (2, _config(2, changed=1)))
-    assert _size(giver.delta_for(_holder(old).digest)) < 500
-    assert len(giver.data) > 100_000
+    sender = _exchange(old, (2, _config(2, changed=1)))
+    assert _size(sender.delta_for(_exchange(old).digest)) < 500
+    assert len(sender.data) > 100_000
 
 
-def test_whole_is_sent_where_no_base_is_shared() -> None:
-    giver = _holder((2, _config(2)))
-    taker = _holder((1, _config(1)))
-    delta = giver.delta_for(taker.digest)
-    assert taker.restore(delta) == giver.data
-    assert _size(delta) < len(giver.data) / 2
+def test_whole_is_sent_without_common_base() -> None:
+    sender = _exchange((2, _config(2)))
+    receiver = _exchange((1, _config(1)))
+    delta = sender.delta_for(receiver.digest)
+    assert receiver.restore(delta) == sender.data
+    assert _size(delta) < len(sender.data) / 2
 
 
-def test_base_ten_versions_back_is_not_kept() -> None:
-    giver = _holder(*((n, _config(n)) for n in range(1, 12)))
-    taker = _holder((1, _config(1)))
-    assert giver.delta_for(taker.digest).base == b""
+def test_old_base_is_dropped() -> None:
+    sender = _exchange(*((n, _config(n)) for n in range(1, 12)))
+    receiver = _exchange((1, _config(1)))
+    assert sender.delta_for(receiver.digest).base == b""
 
 
-def test_order_of_bases_does_not_matter() -> None:
-    """A difference that was overtaken by another is no harm."""
+def test_difference_applies_to_any_kept_base() -> None:
+    """The receiver may already have a newer base than the sender knows."""
     first, second = (1, _config(1)), (2, _config(2, changed=1))
-    giver = _holder(first, second, (3, _config(3, changed=2)))
-    taker = _holder(first, second)
-    assert taker.restore(giver.delta_for(_holder(first).digest)) == giver.data
+    sender = _exchange(first, second, (3, _config(3, changed=2)))
+    receiver = _exchange(first, second)
+    assert (
+        receiver.restore(sender.delta_for(_exchange(first).digest))
+        == sender.data
+    )
 
 
 @pytest.mark.parametrize(
@@ -104,12 +106,12 @@
         ("pieces", (wire.ConfigPiece(0, 1, -1),)),
     ],
 )
-def test_what_does_not_fit_is_refused(field: str, value: object) -> None:
+def test_mismatched_difference_is_rejected(field: str, value: object) -> None:
     old = (1, _config(1))
-    delta = _holder(old, (2, _config(2, 1))).delta_for(_holder(old).digest)
-    wrong = msgspec.structs.replace(delta, **{field: value})
+    delta = _exchange(old, (2, _config(2, 1))).delta_for(_exchange(old).digest)
+    damaged = msgspec.structs.replace(delta, **{field: value})
     with pytest.raises(_config_exchange.ExchangeError):
-        _holder(old).restore(wrong)
+        _exchange(old).restore(damaged)
 
 
 def _hello(name: str, **fields: typing.Any) -> wire.Hello:
@@ -144,7 +146,7 @@
     ]
 
 
-def test_entry_with_a_narrow_link_asks_an_agent() -> None:
+def test_entry_with_narrow_link_chooses_a_reader() -> None:
     core = _entry()
     core.receive(0.0, wire.PeerUp(_hello("agent-0")))
     assert not _requests(core, 0.0)
@@ -153,14 +155,14 @@
     assert (peer, request) == ("agent-1", wire.ConfigRequest(follow=True))
 
 
-def test_entry_with_a_wide_link_asks_none() -> None:
+def test_entry_with_wide_link_has_no_reader() -> None:
     core = _entry(link=25_000_000.0)
     core.receive(0.0, wire.PeerUp(_hello("agent-1", reads_configs=True)))
     assert not _requests(core, 0.0)
     assert not core.peers.config_reader
 
 
-def test_another_agent_is_asked_if_one_is_lost_or_fails() -> None:
+def test_reader_is_replaced_if_lost_or_slow() -> None:
     core = _entry()
     for name in ("agent-0", "agent-1", "agent-2"):
         core.receive(0.0, wire.PeerUp(_hello(name, reads_configs=True)))
@@ -172,12 +174,12 @@
     assert len({first, second, third}) == 3
 
 
-def test_what_an_agent_brings_is_in_force_and_never_goes_back() -> None:
+def test_version_never_goes_back() -> None:
     core = _entry()
     core.receive(0.0, wire.PeerUp(_hello("agent-0", reads_configs=True)))
     core.receive(0.0, leases.ConfigRead(1, _config(1), 1))
     core.tick(0.0)
-    agent = _holder((1, _config(1)), (2, _config(2, 1)))
+    agent = _exchange((1, _config(1)), (2, _config(2, 1)))
     late = agent.delta_for(core.peers.digest)
     agent.learn(3, _config(3, 2), 3)
     newest = agent.delta_for(core.peers.digest)
@@ -188,19 +190,19 @@
     assert core.peers.version == 3
 
 
-def test_whole_is_asked_for_if_a_difference_does_not_fit() -> None:
+def test_whole_is_requested_if_base_is_unknown() -> None:
     core = _entry()
     core.receive(0.0, wire.PeerUp(_hello("agent-0", reads_configs=True)))
     core.tick(0.0)
-    agent = _holder((1, _config(1)), (2, _config(2, 1)))
-    delta = agent.delta_for(_holder((1, _config(1))).digest)
+    agent = _exchange((1, _config(1)), (2, _config(2, 1)))
+    delta = agent.delta_for(_exchange((1, _config(1))).digest)
     core.receive(0.1, wire.Received("agent-0", delta))
     assert _requests(core, 0.1) == [
         ("agent-0", wire.ConfigRequest(follow=True))
     ]
 
 
-def test_entry_of_the_release_before_is_sent_the_whole() -> None:
+def test_earlier_release_is_sent_the_whole() -> None:
     core = _entry()
     core.receive(0.0, leases.ConfigRead(1, b"{}"))
     core.receive(0.0, wire.PeerUp(_hello("entry-1")))
@@ -217,7 +219,7 @@
     assert sent["entry-2"] is wire.ConfigDelta
 
 
-def test_narrow_is_what_a_large_configuration_holds_up() -> None:
+def test_narrow_link() -> None:
     assert _config_readers.is_narrow_link(250_000.0)
     assert not _config_readers.is_narrow_link(25.0e6 / 8.0)
     assert not _config_readers.is_narrow_link(float("inf"))
--- a/src/ferryledge/leases/tests/test_cordons.py
+++ b/src/ferryledge/leases/tests/test_cordons.py
@@ -1,10 +1,7 @@
-"""Availability zones that take no new work.
+"""Cordoned availability zones get no new work.
 
-Operators cordoned a zone, and nothing in the system read that: on a day with
-two cordons 11,810 tasks were started in a cordoned zone after the 5 s that
-the system has. Orders come from several entries, of which some are cut off
-from the store, have just started, or read the log from behind; so the agent
-that starts a task decides as well, by the newest word that it has.
+Guards against entries that order runs there because they are cut off from the
+store, have just started, or have read an outdated log; agents check as well.
 """
 
 import random
@@ -22,22 +19,20 @@
 
 @pytest.fixture
 def world() -> worlds.World:
-    """Return a world of two zones with three entries that know each other."""
-    made = worlds.World(
+    """Return a world of two zones with three connected entries."""
+    world = worlds.World(
         seed=4, entries=3, agents=4, peers=True, zones=("north", "south")
     )
-    made.run(3.0)
-    return made
+    world.run(3.0)
+    return world
 
 
-def test_entries_that_start_anew_tell_of_a_zone_that_was_taken_back(
+def test_restarted_entries_announce_a_lifted_cordon(
     world: worlds.World,
 ) -> None:
-    """Agents dial an entry before it has read the operators' log.
+    """An entry announces its first state even if no zone is cordoned.
 
-    That no zone is cordoned was no news to the entry, which had started
-    without any, so it told nobody; an agent that had heard of the cordon
-    before then refused all orders for good.
+    Otherwise an agent that knows of the former cordon refuses all orders.
     """
     world.set_cordons("north", "south")
     world.run(worlds.CORDON_S)
@@ -53,8 +48,8 @@
     assert _is_complete(world, token)
 
 
-def _started_in(world: worlds.World, zone: str) -> int:
-    """Return how many tasks run in a zone now."""
+def _running_in(world: worlds.World, zone: str) -> int:
+    """Return the number of tasks that run in a zone now."""
     return sum(
         len(endpoint.runs)
         for agent, endpoint in world.endpoints.items()
@@ -78,19 +73,21 @@
     assert not world.violations
 
 
-def test_what_runs_there_ends_in_peace(world: worlds.World) -> None:
+def test_running_tasks_finish(world: worlds.World) -> None:
     token = world.submit("entry-0", _JOB, count=32, work_s=3.0)
     world.run(0.2)
-    assert _started_in(world, "north") == 16
+    assert _running_in(world, "north") == 16
     world.set_cordons("north")
     world.run(2.0)
-    assert _started_in(world, "north") == 16
+    assert _running_in(world, "north") == 16
     world.run(2.0)
     assert _is_complete(world, token)
     assert world.started[_JOB] == 32
 
 
-def test_it_serves_at_once_when_taken_back(world: worlds.World) -> None:
+def test_zone_serves_promptly_after_cordon_is_lifted(
+    world: worlds.World,
+) -> None:
     world.set_cordons("north", "south")
     world.run(worlds.CORDON_S)
     world.set_cordons()
@@ -100,7 +97,7 @@
     assert _is_complete(world, token)
 
 
-def test_job_is_refused_at_once_when_all_zones_are_cordoned(
+def test_job_is_refused_if_all_zones_are_cordoned(
     world: worlds.World,
 ) -> None:
     world.set_cordons("north", "south")
@@ -111,7 +108,7 @@
     assert not world.started[_JOB]
 
 
-def test_job_for_a_cordoned_zone_alone_is_refused_promptly() -> None:
+def test_job_that_fits_only_cordoned_zone_is_refused() -> None:
     world = worlds.World(seed=4, agents=4, zones=("north", "south"))
     world.labels["agent-0"] = ("rack-1",)
     world.run(3.0)
@@ -124,15 +121,15 @@
     assert isinstance(world.outcome(token), outcomes.Refused)
 
 
-def test_agents_refuse_an_entry_that_does_not_know() -> None:
+def test_agents_refuse_orders_of_stale_entry() -> None:
     world = faults.play_stale_entry()
     assert not world.violations
     served = [_is_complete(world, token) for token in world.jobs]
     assert all(served)
 
 
-def test_agents_correct_an_entry_that_is_behind() -> None:
-    """An entry that knows of no cordon learns it with its first stream."""
+def test_agents_update_an_outdated_entry() -> None:
+    """A restarted entry learns of a cordon from its first stream."""
     world = worlds.World(seed=4, entries=2, agents=4, zones=("north", "south"))
     world.run(3.0)
     world.set_cordons("north")
@@ -140,7 +137,7 @@
     world.storeless.add("entry-0")
     world.kill("entry-0", 0.3)
     world.run(0.3)
-    # It reads the log from behind, as of before the cordon.
+    # It reads the log as of before the cordon.
     world.post("entry-0", leases.CordonsRead(wire.CordonedZones(1)))
     world.run(1.0)
     rows = world.nodes["entry-0"].core.pool
@@ -148,10 +145,10 @@
 
 
 @pytest.mark.parametrize("cordoned", [True, False])
-def test_late_word_changes_nothing(
+def test_outdated_state_is_ignored(
     world: worlds.World, cordoned: bool
 ) -> None:
-    """Neither is a cordon brought back nor ended by what came late."""
+    """A delayed message neither restores a cordon nor lifts one."""
     zones = [("north",), ()]
     world.set_cordons(*zones[cordoned])
     world.run(worlds.CORDON_S)
@@ -167,13 +164,13 @@
     for number in range(8):
         world.submit("entry-0", f"{number:016x}", count=4, work_s=0.1)
         world.run(0.1)
-        assert bool(_started_in(world, "north")) is not cordoned
+        assert bool(_running_in(world, "north")) is not cordoned
     assert not world.violations
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_cordons_among_faults_in_series(seed: int) -> None:
-    """Zones are cordoned and taken back while faults overlap."""
+    """Zones are cordoned and uncordoned while faults overlap."""
     rng = random.Random(seed)
     zones = ("north", "south", "east")
     world = worlds.World(seed, entries=3, agents=6, peers=True, zones=zones)
@@ -189,7 +186,7 @@
         if rng.random() < 0.08:
             world.set_cordons(*rng.sample(zones, rng.randrange(3)))
         if rng.random() < 0.1:
-            # One entry reads on, and may be the one that is cut off.
+            # Only one entry still reads the store; it may be cut off itself.
             world.storeless = set(rng.sample(world.entries, 2))
         world.run(rng.expovariate(6.0))
     world.storeless.clear()
--- a/src/ferryledge/leases/tests/test_cut_off.py
+++ b/src/ferryledge/leases/tests/test_cut_off.py
@@ -1,9 +1,7 @@
-"""An entry that is cut off from all agents.
+"""An entry that is cut off from all agents refuses jobs promptly.
 
-While five of twelve entries were cut off for 2.5 s, 157 of 506 jobs were
-refused, the first after 1.38 s: an entry kept jobs waiting for 2 s in the hope
-that agents which had gone silent would come back. Its clients could have been
-served by other entries meanwhile.
+Guards against jobs that wait for silent agents while other entries could run
+them.
 """
 
 import pytest
@@ -11,16 +9,16 @@
 from ferryledge import loads as worlds
 from ferryledge import outcomes
 
-#: Seconds from the cut in which an entry can't know of it: agents are asked
-#: to show themselves each 0.3 s, and two signs may be missed.
-_UNNOTICED_S = 0.75
+#: Seconds until an entry notices a cut: agents are due to send every 0.3 s,
+#: and two messages may be lost.
+_DETECTION_S = 0.75
 
 
 @pytest.fixture
 def world() -> worlds.World:
-    made = worlds.World(seed=2)
-    made.run(2.0)
-    return made
+    world = worlds.World(seed=2)
+    world.run(2.0)
+    return world
 
 
 def _cut_off(world: worlds.World, entry: str, for_s: float) -> None:
@@ -30,7 +28,7 @@
 
 def test_jobs_are_refused_promptly(world: worlds.World) -> None:
     _cut_off(world, "entry-0", 2.5)
-    world.run(_UNNOTICED_S)
+    world.run(_DETECTION_S)
     for number in range(15):
         token = world.submit("entry-0", f"{number:016x}", work_s=0.1)
         arrived_at = world.now
@@ -40,7 +38,7 @@
     assert not world.violations
 
 
-def test_jobs_are_taken_again_after_the_cut(world: worlds.World) -> None:
+def test_jobs_are_accepted_after_the_cut(world: worlds.World) -> None:
     _cut_off(world, "entry-0", 2.5)
     world.run(3.5)
     token = world.submit("entry-0", "a" * 16, work_s=0.1)
@@ -48,7 +46,7 @@
     assert isinstance(world.outcome(token), outcomes.Complete)
 
 
-def test_jobs_wait_for_agents_that_were_killed(world: worlds.World) -> None:
+def test_jobs_wait_for_restarting_agents(world: worlds.World) -> None:
     for agent in world.agents:
         world.kill(agent, 0.6)
     world.run(0.3)
--- a/src/ferryledge/leases/tests/test_full_link.py
+++ b/src/ferryledge/leases/tests/test_full_link.py
@@ -1,18 +1,7 @@
-"""An entry behind a narrow link serves what the link carries.
+"""An entry behind a narrow link serves as much as the link carries.
 
-Three entries stood behind links of 2 Mbit/s. Two of them were stopped in
-turn during a burst, and the third had to order for all. Its orders, each
-with the whole spec of its job, took more than the link: grants and orders
-waited, and agents turned down what came as too old. The entry took that for
-silent agents and repeated the orders over the same link:
-
-    11.789  run ended without a result  run 6  how stopped  run_s 0.236
-    18.713  answered: failed, may have run  runs 53  reason deadline
-    21.643  not started  run 1  reason no_answer
-
-There were 1,147 lines with that last reason. Of 343 jobs of four seconds 21
-were in time although the endpoints had room, and service came back five
-seconds after the burst.
+Guards against a full link that delays grants and orders, which then expire
+and are repeated over the same link.
 """
 
 import random
@@ -36,7 +25,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_most_of_what_the_link_carries_is_served_in_time(seed: int) -> None:
+def test_most_jobs_end_on_time_up_to_link_rate(seed: int) -> None:
     played = _play(seed)
     assert not played.world.violations
     assert not played.count(outcomes.FailedMayHaveRun)
@@ -45,7 +34,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_no_run_is_stopped_for_want_of_a_grant(seed: int) -> None:
+def test_no_run_is_repeated(seed: int) -> None:
     played = _play(seed)
     starts = sum(played.world.started.values())
     complete = played.count(outcomes.Complete)
--- a/src/ferryledge/leases/tests/test_handover.py
+++ b/src/ferryledge/leases/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Handing jobs on between entries, with every fault at every step."""
+"""Handovers between entries, with every fault at every step."""
 
 import random
 
@@ -23,21 +23,21 @@
 
 
 def _check_answered(world: worlds.World) -> None:
-    """Check that each client of an entry that lives was answered."""
+    """Check that each client whose entry did not restart was answered."""
     for token in world.jobs:
-        lives = world.nodes[handovers.GIVER].life == 1
-        left = not world.answers[token] and lives
-        assert not left or _client_left(world), f"{token} has no answer"
+        is_alive = world.nodes[handovers.DELEGATOR].life == 1
+        unanswered = not world.answers[token] and is_alive
+        assert not unanswered or _client_left(world), f"{token} has no answer"
 
 
 def _client_left(world: worlds.World) -> bool:
     return any(
         note.message == "client left"
-        for note in world.nodes[handovers.GIVER].core.pop_notes()
+        for note in world.nodes[handovers.DELEGATOR].core.pop_notes()
     )
 
 
-def test_job_is_answered_by_the_entry_that_took_it() -> None:
+def test_job_runs_once_and_is_answered() -> None:
     world = handovers.play(
         handovers.FAULTS["nothing"], handovers.STEPS["running"], 1
     )
@@ -46,7 +46,7 @@
     assert world.sent[wire.OfferJob] == 1
 
 
-def test_nothing_is_sent_while_jobs_are_in_time() -> None:
+def test_no_handover_messages_while_jobs_start_in_time() -> None:
     world = worlds.World(1, entries=3, agents=4, peers=True)
     world.run(3.0)
     for number in range(20):
@@ -56,7 +56,7 @@
         assert not world.sent[message]
 
 
-def test_peers_that_take_none_are_offered_none() -> None:
+def test_disabled_handovers_send_no_messages() -> None:
     rules = leases.EntryRules(hands_on=False)
     world = worlds.World(1, entries=3, agents=4, peers=True, rules=rules)
     world.run(4.0)
@@ -68,7 +68,7 @@
     assert not world.sent[wire.AskRoom]
 
 
-def test_leaving_entry_hands_on_what_waits_untried() -> None:
+def test_draining_entry_offers_undispatched_jobs() -> None:
     world = handovers.make_world(1)
     world.post("entry-0", leases.EntryDrain(world.now + 5.0))
     token = world.submit("entry-0", handovers.JOB)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_faults_in_series(seed: int) -> None:
-    """Entries lose their agents while others fail and jobs keep coming."""
+    """Entries lose their agents while others fail under load."""
     rng = random.Random(seed)
     world = worlds.World(seed, entries=5, agents=6, peers=True)
     world.run(4.0)
@@ -101,7 +101,7 @@
 
 
 def _cut_off(world: worlds.World, rng: random.Random) -> None:
-    """Let an entry hear none of its agents for a while."""
+    """Cut a random entry off from all agents for a while."""
     entry = rng.choice(world.entries)
     for_s = rng.uniform(1.0, 4.0)
     for agent in world.agents:
@@ -109,47 +109,47 @@
 
 
 def _strike_entries(world: worlds.World, rng: random.Random) -> None:
-    one, other = rng.sample(world.entries, 2)
+    entry, other = rng.sample(world.entries, 2)
     for_s = rng.choice((0.2, 0.5, 2.0))
     match rng.randrange(6):
         case 0:
-            world.kill(one, for_s)
+            world.kill(entry, for_s)
         case 1:
-            world.pause(one, for_s)
+            world.pause(entry, for_s)
         case 2:
-            world.cut(one, other, for_s, rng.random() < 0.5)
+            world.cut(entry, other, for_s, rng.random() < 0.5)
         case 3:
-            world.break_stream(one, other)
+            world.break_stream(entry, other)
         case 4:
-            world.silence_stream(min(one, other), max(one, other))
+            world.silence_stream(min(entry, other), max(entry, other))
         case 5:
-            world.kill(one, for_s)
+            world.kill(entry, for_s)
             world.at(0.2, lambda: world.kill(other, for_s))
 
 
-def test_earlier_releases_are_sent_nothing_new() -> None:
-    """Their greeting does not say that they take jobs."""
+def test_no_handover_messages_to_earlier_releases() -> None:
+    """The greeting of earlier releases lacks ``takes_jobs``."""
     entry = _entry_without_agents()
     old = wire.Hello(wire.Role.ENTRY, "entry-1", "1.1", "north")
-    assert not _sent_for_a_job(entry, old)
+    assert not _messages_for_a_job(entry, old)
 
 
-def test_entry_without_agents_asks_for_room() -> None:
+def test_entry_without_agents_requests_capacity() -> None:
     entry = _entry_without_agents()
     new = wire.Hello(
         wire.Role.ENTRY, "entry-1", "1.1", "north", takes_jobs=True
     )
-    assert _sent_for_a_job(entry, new) == [wire.AskRoom("desk")]
+    assert _messages_for_a_job(entry, new) == [wire.AskRoom("desk")]
 
 
 def _entry_without_agents() -> leases.LeaseEntry:
     return leases.LeaseEntry("entry-0", "0.1", "north", random.Random(1))
 
 
-def _sent_for_a_job(
+def _messages_for_a_job(
     entry: leases.LeaseEntry, peer: wire.Hello
 ) -> list[wire.Message]:
-    """Return what a peer is sent on a job's account."""
+    """Return the messages that a peer is sent because of a job."""
     entry.receive(0.0, wire.PeerUp(peer))
     entry.tick(0.0)
     step = leases.JobStep(1, wire.Resources(1000, 100, 0), 0.2)
@@ -159,8 +159,8 @@
     entry.receive(0.1, leases.JobSubmitted(1, request))
     sent = entry.tick(0.1) + entry.tick(0.13)
     return [
-        one.message
-        for one in sent
-        if isinstance(one, leases.SendMessage)
-        and not isinstance(one.message, wire.KeepAlive)
+        action.message
+        for action in sent
+        if isinstance(action, leases.SendMessage)
+        and not isinstance(action.message, wire.KeepAlive)
     ]
--- a/src/ferryledge/leases/tests/test_many_processes.py
+++ b/src/ferryledge/leases/tests/test_many_processes.py
@@ -1,16 +1,7 @@
-"""What a stream costs, and what few streams take from callers.
+"""Agents keep streams to few entries, and entries find enough agents.
 
-Each agent kept a stream to each entry. At rest an agent with 3 entries sent
-and received 15 messages a second, one with 12 entries 47 and one with 35
-entries 126; an entry with 160 agents 574. Processes had spent most of their
-processor time before the first job came:
-
-    at rest, 35 entries and 160 agents: asks 82 a second and agent, grants 43
-    jobs of 8 quick tasks in time at 1.2 times the pool: 0.68 of them with
-    streams to all 12 entries, 0.98 with streams to 4
-
-Entries that see all endpoints race for the same room: 0.39 orders a run were
-in vain with all streams, 0.02 with four.
+Guards against messages at rest that grow with the number of processes, and
+against jobs that miss the endpoints they need.
 """
 
 import random
@@ -27,7 +18,7 @@
 
 
 def _messages_at_rest(entries: int, agents: int) -> float:
-    """Return the messages a second and agent while nothing runs."""
+    """Return the messages per second and agent while nothing runs."""
     world = worlds.World(1, entries, agents)
     world.run(_SETTLE_S)
     world.sent.clear()
@@ -35,7 +26,7 @@
     return sum(world.sent.values()) / 2.0 / agents
 
 
-def test_an_agent_at_rest_costs_the_same_with_many_entries() -> None:
+def test_messages_at_rest_do_not_grow_with_entries() -> None:
     few = _messages_at_rest(4, 12)
     many = _messages_at_rest(20, 60)
     assert many < 1.05 * few
@@ -43,9 +34,9 @@
 
 
 def _play_skewed(world: worlds.World, share: float, seconds: float) -> float:
-    """Return the share in time of jobs that reach few entries.
+    """Return the share of jobs on time if clients use few entries.
 
-    Each of as many clients as there are entries stays with one of them.
+    There are as many clients as entries; each stays with a random entry.
     """
     rng = random.Random(1)
     clients = rng.choices(world.entries, k=len(world.entries))
@@ -66,19 +57,19 @@
     ) / len(sent)
 
 
-def test_uneven_entries_serve_a_full_pool() -> None:
+def test_uneven_load_on_entries_fills_the_pool() -> None:
     world = worlds.World(1, entries=8, agents=24)
     assert _play_skewed(world, 0.9, 2.0) > 0.95
     assert not world.violations
 
 
-def test_an_order_under_way_to_an_agent_that_leaves_is_carried_out(
+def test_order_to_leaving_agent_is_carried_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Agents find a better entry while jobs run, and leave another for it.
+    """Agents switch entries while orders to them are in transit.
 
-    A stream that is closed unannounced leaves an order that is under way in
-    doubt for 1.4 s, longer than any lease.
+    A stream that closes unannounced would leave such orders unresolved until
+    their leases have expired.
     """
     addresses = tuple(
         wire.EntryAddress(f"entry-{n}", "127.0.0.1", 1) for n in range(6)
@@ -88,15 +79,15 @@
     sent: list[tuple[int, float]] = []
     perform = world._perform
 
-    def submit_as_it_leaves(name: str, action: typing.Any) -> None:
+    def submit_while_leaving(name: str, action: typing.Any) -> None:
         perform(name, action)
         match action:
             case leases.SendMessage(entry, wire.Leaving()):
-                for _ in range(30):  # Enough for each agent to get some.
+                for _ in range(30):  # Enough that each agent gets some.
                     job = f"{len(sent):016x}"
                     sent.append((world.submit(entry, job, 1, 0.05), world.now))
 
-    monkeypatch.setattr(world, "_perform", submit_as_it_leaves)
+    monkeypatch.setattr(world, "_perform", submit_while_leaving)
     world.run(1.0)
     for agent in world.agents:
         world.post(agent, leases.EntriesFound(addresses))
@@ -129,7 +120,7 @@
 
 
 @pytest.mark.parametrize("again", [0, 1])
-def test_a_job_for_a_rare_endpoint_finds_it(again: int) -> None:
+def test_job_finds_rare_endpoint(again: int) -> None:
     """The agent beside the only fitting endpoint serves other entries."""
     world = _world_with_rare_endpoint()
     entry = _entry_without(world, "agent-7")
@@ -142,9 +133,7 @@
         assert world.answered_at[token] - sent_at < 0.3
 
 
-def test_a_job_that_fits_nowhere_is_refused_promptly_and_then_at_once() -> (
-    None
-):
+def test_job_that_fits_nowhere_is_refused_promptly() -> None:
     world = _world_with_rare_endpoint()
     waits = []
     for number in range(2):
@@ -173,8 +162,8 @@
         assert isinstance(world.outcome(token), outcomes.Refused)
 
 
-def test_entry_without_agents_waits_for_its_own() -> None:
-    """After a loss of power no entry knows what fits where."""
+def test_entry_without_agents_sends_no_search() -> None:
+    """After a restart of all agents no entry knows what fits where."""
     world = worlds.World(5, entries=9, agents=18, peers=True)
     world.run(_SETTLE_S)
     for agent in world.agents:
@@ -186,8 +175,8 @@
     assert not world.sent[wire.SeekAgents]
 
 
-def test_entry_with_few_agents_is_given_more() -> None:
-    """Of 6 agents each chooses 4 of 12 entries: some get none or one."""
+def test_entry_with_few_agents_gets_more() -> None:
+    """If 6 agents choose 4 of 12 entries each, some entries get too few."""
     world = worlds.World(4, entries=12, agents=6, peers=True)
     world.run(15.0)
     for entry in world.entries:
--- a/src/ferryledge/leases/tests/test_outgoing_handovers.py
+++ b/src/ferryledge/leases/tests/test_outgoing_handovers.py
@@ -1,4 +1,4 @@
-"""Whom the giver asks and offers to, without a network."""
+"""Which entries get capacity requests and offers; no network."""
 
 import collections
 import random
@@ -16,8 +16,8 @@
 from ferryledge import wire
 
 
-class Giver:
-    """A giver, and what it does."""
+class Harness:
+    """Drives outgoing handovers and records their effects."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, wire.Message]] = []
@@ -34,35 +34,39 @@
         )
 
     def join(self, *names: str, zone: str = "north") -> None:
-        """Let entries greet it."""
+        """Open the streams of some entries."""
         for name in names:
             hello = wire.Hello(
                 wire.Role.ENTRY, name, f"{name}.1", zone, takes_jobs=True
             )
             self.core.join(hello)
 
-    def tell(self, now: float, name: str, cpu_millis: int) -> None:
-        """Let an entry tell its room."""
+    def report(self, now: float, name: str, cpu_millis: int) -> None:
+        """Let an entry report its spare capacity."""
         self.core.note_capacity(
             now, name, wire.RoomTold(7, "desk", cpu_millis)
         )
 
     def asked(self) -> list[str]:
-        """Return the entries that were asked."""
-        return [n for n, one in self.sent if isinstance(one, wire.AskRoom)]
+        """Return the entries that got a capacity request."""
+        return [
+            name
+            for name, message in self.sent
+            if isinstance(message, wire.AskRoom)
+        ]
 
     def offers(self) -> list[tuple[str, wire.OfferJob]]:
-        """Return what was offered to whom."""
+        """Return the offers and the entries that got them."""
         return [
-            (name, one)
-            for name, one in self.sent
-            if isinstance(one, wire.OfferJob)
+            (name, message)
+            for name, message in self.sent
+            if isinstance(message, wire.OfferJob)
         ]
 
 
 @pytest.fixture
-def delegator() -> Giver:
-    return Giver()
+def harness() -> Harness:
+    return Harness()
 
 
 def _job(number: int = 0, cpu_millis: int = 1000) -> _jobs.Job:
@@ -73,69 +77,69 @@
     return _jobs.Job(request, [1], 0.0, 0.2, _jobs.make_tasks(request))
 
 
-def test_it_asks_four_half_of_them_in_its_zone(delegator: Giver) -> None:
-    delegator.join(*(f"near-{n}" for n in range(8)))
-    delegator.join(*(f"far-{n}" for n in range(8)), zone="south")
-    delegator.core.offer_jobs(0.0, [_job()])
+def test_half_of_four_requests_go_to_own_zone(harness: Harness) -> None:
+    harness.join(*(f"near-{n}" for n in range(8)))
+    harness.join(*(f"far-{n}" for n in range(8)), zone="south")
+    harness.core.offer_jobs(0.0, [_job()])
     zones = collections.Counter(
-        one.partition("-")[0] for one in delegator.asked()
+        name.partition("-")[0] for name in harness.asked()
     )
     assert zones == {"near": 2, "far": 2}
 
 
-def test_it_asks_less_often_while_none_has_room(delegator: Giver) -> None:
-    delegator.join("entry-1")
+def test_requests_back_off_without_capacity(harness: Harness) -> None:
+    harness.join("entry-1")
     for tick in range(100):
-        delegator.core.offer_jobs(tick * 0.01, [_job()])
-    assert len(delegator.asked()) < 9
+        harness.core.offer_jobs(tick * 0.01, [_job()])
+    assert len(harness.asked()) < 9
 
 
-def test_it_offers_at_its_zone_first(delegator: Giver) -> None:
-    delegator.join("entry-1")
-    delegator.join("entry-2", zone="south")
-    delegator.tell(0.0, "entry-1", 1000)
-    delegator.tell(0.0, "entry-2", 8000)
-    delegator.core.offer_jobs(0.01, [_job(0), _job(1)])
-    assert [name for name, _ in delegator.offers()] == ["entry-1", "entry-2"]
+def test_own_zone_is_preferred(harness: Harness) -> None:
+    harness.join("entry-1")
+    harness.join("entry-2", zone="south")
+    harness.report(0.0, "entry-1", 1000)
+    harness.report(0.0, "entry-2", 8000)
+    harness.core.offer_jobs(0.01, [_job(0), _job(1)])
+    assert [name for name, _ in harness.offers()] == ["entry-1", "entry-2"]
 
 
-def test_it_counts_what_it_offered(delegator: Giver) -> None:
-    delegator.join("entry-1")
-    delegator.tell(0.0, "entry-1", 2500)
-    delegator.core.offer_jobs(0.01, [_job(number) for number in range(5)])
-    assert len(delegator.offers()) == 2
+def test_offers_reduce_known_capacity(harness: Harness) -> None:
+    harness.join("entry-1")
+    harness.report(0.0, "entry-1", 2500)
+    harness.core.offer_jobs(0.01, [_job(number) for number in range(5)])
+    assert len(harness.offers()) == 2
 
 
-def test_it_goes_by_no_old_word(delegator: Giver) -> None:
-    delegator.join("entry-1")
-    delegator.tell(0.0, "entry-1", 8000)
-    delegator.core.offer_jobs(_outgoing_handovers.CAPACITY_VALID_S, [_job()])
-    assert not delegator.offers()
+def test_outdated_reports_are_not_used(harness: Harness) -> None:
+    harness.join("entry-1")
+    harness.report(0.0, "entry-1", 8000)
+    harness.core.offer_jobs(_outgoing_handovers.CAPACITY_VALID_S, [_job()])
+    assert not harness.offers()
 
 
-def test_a_handed_in_job_goes_no_further(delegator: Giver) -> None:
-    delegator.join("entry-1")
-    delegator.tell(0.0, "entry-1", 8000)
+def test_incoming_job_is_not_offered_again(harness: Harness) -> None:
+    harness.join("entry-1")
+    harness.report(0.0, "entry-1", 8000)
     job = _job()
     job.is_incoming = True
-    delegator.core.offer_jobs(0.01, [job])
-    assert not delegator.sent
+    harness.core.offer_jobs(0.01, [job])
+    assert not harness.sent
 
 
-def _offered(delegator: Giver) -> tuple[_jobs.Job, wire.OfferJob]:
-    delegator.join("entry-1")
-    delegator.tell(0.0, "entry-1", 8000)
+def _offered(harness: Harness) -> tuple[_jobs.Job, wire.OfferJob]:
+    harness.join("entry-1")
+    harness.report(0.0, "entry-1", 8000)
     job = _job()
-    delegator.core.offer_jobs(0.01, [job])
-    return job, delegator.offers()[0][1]
+    harness.core.offer_jobs(0.01, [job])
+    return job, harness.offers()[0][1]
 
 
-def test_a_declined_job_never_ran(delegator: Giver) -> None:
-    job, offer = _offered(delegator)
+def test_declined_job_counts_as_not_run(harness: Harness) -> None:
+    job, offer = _offered(harness)
     assert job.is_dispatched
     declined = wire.Declined.ROOM
     answer = wire.OfferAnswered(offer.delegator, offer.number, declined)
-    delegator.core.on_offer_answered(0.02, "entry-1", answer)
+    harness.core.on_offer_answered(0.02, "entry-1", answer)
     assert not job.is_dispatched
     assert not job.is_delegated
 
@@ -148,34 +152,34 @@
         ("entry-1", {"number": 9}),
     ],
 )
-def test_a_result_of_something_else_is_dropped(
-    delegator: Giver, peer: str, change: dict[str, typing.Any]
+def test_result_of_unknown_offer_is_ignored(
+    harness: Harness, peer: str, change: dict[str, typing.Any]
 ) -> None:
-    _, offer = _offered(delegator)
+    _, offer = _offered(harness)
     named = {"delegator": offer.delegator, "number": offer.number} | change
     handled = wire.JobHandled(how=wire.HowHandled.DONE, **named)
-    delegator.core.on_job_handled(0.1, peer, handled)
-    assert not delegator.finished
+    harness.core.on_job_handled(0.1, peer, handled)
+    assert not harness.finished
 
 
-def test_a_lost_job_comes_back_when_all_runs_are_over(
-    delegator: Giver,
+def test_lost_job_is_taken_back_after_all_runs(
+    harness: Harness,
 ) -> None:
-    job, offer = _offered(delegator)
+    job, offer = _offered(harness)
     ask = wire.AskHandedIn(offer.delegator, 1, (offer.number,))
-    delegator.core.renew_leases(0.1, "entry-1", ask)
+    harness.core.renew_leases(0.1, "entry-1", ask)
     over_after_s = leases.LeaseTiming().over_after_s
-    assert not delegator.core.take_back_expired(0.1 + over_after_s)
-    assert delegator.core.take_back_expired(
+    assert not harness.core.take_back_expired(0.1 + over_after_s)
+    assert harness.core.take_back_expired(
         0.11 + over_after_s + _outgoing_handovers.CAPACITY_VALID_S
     )
     assert not job.is_delegated
     assert job.is_dispatched
 
 
-def test_a_lost_job_gets_no_sign_any_more(delegator: Giver) -> None:
-    _, offer = _offered(delegator)
-    delegator.core.take_back_expired(1.0)
+def test_lease_of_lost_job_is_not_renewed(harness: Harness) -> None:
+    _, offer = _offered(harness)
+    harness.core.take_back_expired(1.0)
     ask = wire.AskHandedIn(offer.delegator, 1, (offer.number,))
-    delegator.core.renew_leases(1.0, "entry-1", ask)
-    assert delegator.sent[-1][1] == wire.GrantHandedIn(offer.delegator, 1, ())
+    harness.core.renew_leases(1.0, "entry-1", ask)
+    assert harness.sent[-1][1] == wire.GrantHandedIn(offer.delegator, 1, ())
--- a/src/ferryledge/leases/tests/test_uplink.py
+++ b/src/ferryledge/leases/tests/test_uplink.py
@@ -1,4 +1,4 @@
-"""What waits at the link of one's own machine."""
+"""Estimated queue at the uplink, and what depends on it."""
 
 import random
 
@@ -12,7 +12,7 @@
 from ferryledge import wire
 
 _SIZE = 10_000 - _uplink.PACKET_BYTES
-#: What a process counts on of a link that carries 125,000 bytes a second.
+#: Usable rate of a link with 125,000 bytes per second.
 _USABLE = 100_000.0
 
 
@@ -21,7 +21,7 @@
     return _uplink.Uplink(125_000.0)
 
 
-def test_what_was_sent_leaves_at_the_rate_of_the_link(
+def test_queue_drains_at_link_rate(
     link: _uplink.Uplink,
 ) -> None:
     for _ in range(2):
@@ -40,7 +40,7 @@
     assert not link.is_busy(1.0)
 
 
-def test_link_is_busy_while_much_of_it_is_in_use(
+def test_link_is_busy_while_utilized(
     link: _uplink.Uplink,
 ) -> None:
     for tick in range(10):
@@ -49,20 +49,20 @@
     assert not link.is_busy(3.0)
 
 
-def test_share_of_the_pool_is_bounded_by_the_link(
+def test_pool_share_is_bounded_by_link(
     link: _uplink.Uplink,
 ) -> None:
     share = _pool_share.PoolShare(link)
     for tick in range(100):
         link.note_sent(tick / 100, 2_000 - _uplink.PACKET_BYTES)
         share.note_started(tick / 100, 0.5, 1, 2_000)
-    # An order of 2,000 bytes keeps half a core-second of work going.
+    # An order of 2,000 bytes starts half a core-second of work.
     cores = _USABLE / 2_000 * 0.5
     assert share.cores(1.0, 80.0, 1) == pytest.approx(cores, rel=0.02)
 
 
-def test_idle_entry_is_not_bounded_by_a_wide_link() -> None:
-    """Grants and reports go on while nothing is ordered for ten seconds."""
+def test_idle_entry_is_not_bounded_by_wide_link() -> None:
+    """Grants and reports continue while no runs are ordered."""
     link = _uplink.Uplink(125_000_000.0)
     share = _pool_share.PoolShare(link)
     for tick in range(100):
@@ -72,16 +72,16 @@
     assert share.cores(11.0, 80.0, 4) == 20.0
 
 
-def _specs_sent(world: worlds.World) -> list[wire.OrderRuns]:
+def _orders_sent(world: worlds.World) -> list[wire.OrderRuns]:
     orders: list[wire.OrderRuns] = []
     send = world._send
 
-    def watch(source: str, target: str, event: wire.Received) -> None:
+    def record(source: str, target: str, event: wire.Received) -> None:
         if isinstance(event.message, wire.OrderRuns):
             orders.append(event.message)
         send(source, target, event)
 
-    world._send = watch  # type: ignore[method-assign]
+    world._send = record  # type: ignore[method-assign]
     load = loads.Load(share=0.5, tasks=2, spec_bytes=2_000, seconds=1.0)
     loads.play(world, load, random.Random(1))
     return orders
@@ -89,19 +89,19 @@
 
 def test_specs_are_packed_while_the_link_is_busy() -> None:
     world = worlds.World(1, 1, 8, link_bytes_per_s=250_000.0)
-    orders = _specs_sent(world)
+    orders = _orders_sent(world)
     packed = [order for order in orders if order.packed_spec]
     assert len(packed) > len(orders) / 2
     assert not any(order.spec for order in packed)
     assert {order.spec for order in orders if not order.packed_spec}
 
 
-def test_specs_are_sent_as_they_are_over_a_wide_link() -> None:
-    orders = _specs_sent(worlds.World(1, 1, 8, link_bytes_per_s=10**8))
+def test_specs_are_not_packed_over_wide_link() -> None:
+    orders = _orders_sent(worlds.World(1, 1, 8, link_bytes_per_s=10**8))
     assert not any(order.packed_spec for order in orders)
 
 
-def test_agents_that_do_not_say_so_get_no_packed_specs(
+def test_agents_without_support_get_unpacked_specs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def hello(agent: leases.LeaseAgent) -> wire.Hello:
@@ -110,22 +110,22 @@
 
     monkeypatch.setattr(leases.LeaseAgent, "hello", hello)
     world = worlds.World(1, 1, 8, link_bytes_per_s=250_000.0)
-    orders = _specs_sent(world)
+    orders = _orders_sent(world)
     assert not any(order.packed_spec for order in orders)
 
 
-def test_endpoint_gets_the_spec_as_the_client_sent_it() -> None:
+def test_endpoint_gets_original_spec() -> None:
     world = worlds.World(1, 1, 8, link_bytes_per_s=250_000.0)
     started: dict[str, str] = {}
     order = world._order
 
-    def watch(agent: str, action: object) -> None:
+    def record(agent: str, action: object) -> None:
         if isinstance(action, leases.StartRun):
             started[action.key.job] = action.spec
         order(agent, action)  # type: ignore[arg-type]
 
-    world._order = watch  # type: ignore[method-assign]
-    _specs_sent(world)
+    world._order = record  # type: ignore[method-assign]
+    _orders_sent(world)
     sent = {job.job: job.spec for job in world.jobs.values()}
     assert started
     assert all(sent[job] == spec for job, spec in started.items())
