--- a/src/ferryledge/leases/tests/handovers.py
+++ b/src/ferryledge/leases/tests/handovers.py
@@ -45,9 +45,7 @@
     return strike
 
 
-def _delegator_lost_delegate_cut_off(
-    world: worlds.World, delegate: str
-) -> None:
+def _both_lost(world: worlds.World, delegate: str) -> None:
     world.kill(DELEGATOR, 3.0)
     for agent in world.agents:
         world.cut(delegate, agent, 3.0, both=False)
@@ -96,7 +94,7 @@
     "both killed": _both_killed(0.0),
     "both killed in turn": _both_killed(0.15),
     "both killed in turn, later": _both_killed(0.29),
-    "delegator killed, delegate cut off from agents": _delegator_lost_delegate_cut_off,
+    "delegator killed, delegate cut off from agents": _both_lost,
     "delegate cut off from agents": _delegate_cut_off,
     "stream reset": lambda world, delegate: world.break_stream(
         DELEGATOR, delegate
--- a/src/ferryledge/leases/tests/test_many_processes.py
+++ b/src/ferryledge/leases/tests/test_many_processes.py
@@ -68,8 +68,8 @@
 ) -> None:
     """Agents switch entries while orders to them are in transit.
 
-    A stream that closes unannounced would leave such orders unresolved until
-    their leases have expired.
+    A stream that closes unannounced would leave such orders unresolved for
+    longer than a lease lasts.
     """
     addresses = tuple(
         wire.EntryAddress(f"entry-{n}", "127.0.0.1", 1) for n in range(6)
