--- a/src/ferryledge/leases/_spare_capacity.py
+++ b/src/ferryledge/leases/_spare_capacity.py
@@ -1,7 +1,6 @@
-"""What an entry could start at once for others, and what it lacks itself.
+"""Spare capacity of an entry, and the jobs that exceed its capacity.
 
-It answers callers that crowd at some entries: these expect to be late while
-others have room that none of their own jobs waits for.
+Entries use it to hand jobs over from overloaded entries to idle ones.
 """
 
 import math
@@ -13,23 +12,23 @@
 from ferryledge.leases import _pool
 from ferryledge.leases import _uplink
 
-#: Bytes that a waiting job is to take of the own link beside its spec.
+#: Bytes that a waiting job adds to the traffic of the link besides its spec.
 _JOB_BYTES = 400
 
 
-def cpu_millis_of(job: _jobs.Job) -> int:
-    """Return the thousandths of a core that a job could use at once."""
+def startable_cpu_millis(job: _jobs.Job) -> int:
+    """Return the CPU, in thousandths of a core, that a job can use now."""
     steps = job.request.steps
-    return sum(steps[one.step].need.cpu_millis for one in job.startable())
+    return sum(steps[task.step].need.cpu_millis for task in job.startable())
 
 
 class SpareCapacity:
-    """Looks at the room of this entry.
+    """Estimates the spare capacity and the waiting times of this entry.
 
-    :param jobs: the jobs that are held
+    :param jobs: the jobs that this entry holds
     :param pool: the agents
-    :param link: this entry's own
-    :param ranking: the order of waiting jobs
+    :param link: the network link of this machine
+    :param ranking: the queueing order of waiting jobs
     """
 
     def __init__(
@@ -45,13 +44,14 @@
         self._job_ranking = ranking
 
     def cpu_millis(self, now: float, service: str) -> int:
-        """Return the thousandths of a core that others' jobs could use.
+        """Return the CPU that jobs of other entries could use.
 
-        None while an own job waits: on a full pool some room is always free
-        for a moment, and the jobs that wait there have a turn.
+        It is zero while a job of this entry waits: even in a full pool some
+        capacity is free at times, but waiting jobs have precedence.
 
         :param now: monotonic seconds
-        :param service: of the endpoints
+        :param service: the service of the endpoints
+        :return: thousandths of a core
         """
         if not self._link.is_free(now):
             return 0
@@ -61,7 +61,7 @@
                 continue
             if not job.is_incoming:
                 return 0
-            reserved += cpu_millis_of(job)
+            reserved += startable_cpu_millis(job)
         free = sum(
             max(0, row.free.cpu_millis)
             for row in self._pool
@@ -69,57 +69,61 @@
         )
         return max(0, free - reserved)
 
-    def has_room(self, now: float, job: _jobs.Job) -> bool:
-        """Return whether all of a new job's first tasks could start now."""
+    def can_start(self, now: float, job: _jobs.Job) -> bool:
+        """Return whether all first tasks of a new job could start now."""
         if _placement.is_infeasible(self._pool, job):
             return False
         service = job.request.job_class.service
-        return cpu_millis_of(job) <= self.cpu_millis(now, service)
+        return startable_cpu_millis(job) <= self.cpu_millis(now, service)
 
-    def may_differ(self, now: float, entries: int) -> bool:
-        """Return whether other entries may have room that this one has not.
+    def others_may_have_more(self, now: float, entries: int) -> bool:
+        """Return whether other entries may have capacity that this one lacks.
 
-        They have not where each of them shares all endpoints, unless it is
-        the own link that is full.
+        Usually they don't if all entries share all endpoints, except while
+        this machine's link is busy or no endpoint is usable from here.
 
         :param now: monotonic seconds
-        :param entries: how many others there are
+        :param entries: the number of other entries
         """
         if self._link.is_busy(now) or not self._pool.is_usable(now):
             return True
         return self._pool.sharing_entries(now) < entries + 0.5
 
-    def late(self, now: float, lead_s: float) -> list[_jobs.Job]:
-        """Return the untried jobs that would start too late here.
-
-        The most pressing ones come first.
+    def late_jobs(self, now: float, lead_s: float) -> list[_jobs.Job]:
+        """Return the undispatched jobs that would start too late here.
 
         :param now: monotonic seconds
-        :param lead_s: how much sooner than its latest start a job counts as
-            late, so that another entry still starts it in time
+        :param lead_s: seconds before its latest start at which a job counts
+            as late, so that another entry can still start it in time
+        :return: the jobs, most urgent first
         """
         late = []
-        ahead: dict[str, float] = {}
-        link_s = self._link.wait_s(now)
+        queued_work: dict[str, float] = {}
+        link_wait_s = self._link.wait_s(now)
         for job in self._job_ranking.sort(now, self._jobs.undispatched, 0.0):
             service = job.request.job_class.service
-            work = ahead.get(service, 0.0) + job.work
-            wait_s = self._wait_s(now, job, work) + link_s
+            work = queued_work.get(service, 0.0) + job.work
+            wait_s = self._wait_s(now, job, work) + link_wait_s
             if now + wait_s + lead_s > job.start_by:
                 late.append(job)
             else:
-                ahead[service] = work
-                link_s += self._link_s(job)
+                queued_work[service] = work
+                link_wait_s += self._transfer_s(job)
         return late
 
     def _wait_s(self, now: float, job: _jobs.Job, work: float) -> float:
-        """Return how long a job waits behind so many core-seconds."""
+        """Return the expected wait of a job behind some work.
+
+        :param now: monotonic seconds
+        :param job: the job
+        :param work: core-seconds of the jobs before it and of itself
+        """
         service = job.request.job_class.service
         cores = self._pool.capacity_cores(now, service)
         if not cores or _placement.is_infeasible(self._pool, job):
             return math.inf
         return work * self._pool.sharing_entries(now, service) / cores
 
-    def _link_s(self, job: _jobs.Job) -> float:
+    def _transfer_s(self, job: _jobs.Job) -> float:
         size = len(job.request.spec) + _JOB_BYTES
         return size / self._link.bytes_per_s
--- a/src/ferryledge/leases/_uplink.py
+++ b/src/ferryledge/leases/_uplink.py
@@ -1,110 +1,109 @@
-"""How full the link of this machine is with what this process sends.
+"""Estimates how long messages wait at the network link of this machine.
 
-A socket takes far more than the link carries in the time that a grant lasts,
-so a full link does not show when something is written. What was written and
-how fast the link is tells how long the last byte waits.
+Socket buffers hold far more than a narrow link carries during the lifetime of
+a grant, so writes don't show that the link is full. The queue is estimated
+from the bytes sent by this process and from the link's rate.
 """
 
 import math
 
 from ferryledge import wire
 
-#: Bytes that a message takes on the wire beside its own: headers, and the
-#: acknowledgement of what came.
+#: Overhead of a message on the wire, in bytes: headers and acknowledgement.
 PACKET_BYTES = 100
-#: Share of the link that this process counts on; the rest is for what it
-#: does not see, such as repeats of lost packets.
+#: Usable share of the link's rate. The rest is left for traffic that this
+#: process can't see, such as retransmissions.
 _USABLE_SHARE = 0.8
-#: Longest wait at the link for which something new is sent, in seconds. An
-#: order is in vain once the ask that it names is older than a grant.
-_MOST_WAIT_S = 0.03
+#: Longest wait at the link, in seconds, at which new work is still sent. An
+#: order that waits too long is void: it relies on a grant that has expired.
+_MAX_WAIT_S = 0.03
 #: Seconds over which the use of the link is averaged.
 AVERAGING_S = 0.5
-#: Share of the link in use from which bytes are worth processor time.
+#: Utilization from which it pays to compress what is sent.
 _BUSY_SHARE = 0.25
-#: Bytes of an answer to a client.
+#: Estimated bytes of an answer to a client.
 ANSWER_BYTES = 250
-#: Bytes of an order beside its spec and its runs, and of each run.
+#: Estimated bytes of an order without its spec and runs, and of each run.
 _ORDER_BYTES = 70
 _RUN_BYTES = 5
-#: Bytes of a difference between configurations beside its text.
+#: Estimated bytes of a configuration difference without its text.
 _DELTA_BYTES = 100
-#: Bytes of an address in a list, and of all other messages.
+#: Estimated bytes of an address in a list, and of any other message.
 _ADDRESS_BYTES = 40
-_SMALL_BYTES = 20
+_OTHER_BYTES = 20
 
 
 class Uplink:
-    """What waits at the link of this machine.
+    """Models the send queue at the network link of this machine.
 
-    :param bytes_per_s: what the link carries; infinite if that is unknown
+    :param bytes_per_s: the link's rate; infinite if unknown
     """
 
     def __init__(self, bytes_per_s: float = math.inf) -> None:
         self._bytes_per_s = _USABLE_SHARE * bytes_per_s
-        self._queued = 0.0
-        self._lately = 0.0
-        self._at = 0.0
+        self._queued_bytes = 0.0
+        self._recent_bytes = 0.0
+        self._updated_at = 0.0
 
     @property
     def bytes_per_s(self) -> float:
-        """Bytes a second that this process counts on."""
+        """The usable rate of the link, in bytes per second."""
         return self._bytes_per_s
 
     def note_sent(self, now: float, size: int) -> None:
-        """Take in that a message was sent.
+        """Count a message that was sent.
 
         :param now: monotonic seconds
-        :param size: its bytes
+        :param size: its size in bytes
         """
         self._advance(now)
-        self._queued += size + PACKET_BYTES
-        self._lately += size + PACKET_BYTES
+        self._queued_bytes += size + PACKET_BYTES
+        self._recent_bytes += size + PACKET_BYTES
 
     def wait_s(self, now: float) -> float:
-        """Return how long what is sent now waits at the link."""
+        """Return the seconds that a message sent now waits at the link."""
         self._advance(now)
-        return self._queued / self._bytes_per_s
+        return self._queued_bytes / self._bytes_per_s
 
     def is_free(self, now: float) -> bool:
-        """Return whether something new may be sent."""
-        return self.wait_s(now) <= _MOST_WAIT_S
+        """Return whether the queue is short enough to send new work."""
+        return self.wait_s(now) <= _MAX_WAIT_S
 
     def free_at(self, now: float) -> float:
-        """Return when something new may be sent."""
-        return now + max(0.0, self.wait_s(now) - _MOST_WAIT_S)
+        """Return when the queue is short enough to send new work."""
+        return now + max(0.0, self.wait_s(now) - _MAX_WAIT_S)
 
     def is_busy(self, now: float) -> bool:
-        """Return whether much of the link was in use lately."""
+        """Return whether recent traffic used much of the link."""
         return (
             self.recent_bytes(now)
             > _BUSY_SHARE * self._bytes_per_s * AVERAGING_S
         )
 
     def recent_bytes(self, now: float) -> float:
-        """Return the bytes that were sent in the span that is looked at."""
+        """Return the bytes sent recently, with exponential decay."""
         self._advance(now)
-        return self._lately
+        return self._recent_bytes
 
     def _advance(self, now: float) -> None:
-        passed = now - self._at
-        if passed <= 0.0:
+        elapsed = now - self._updated_at
+        if elapsed <= 0.0:
             return
-        self._at = now
-        self._lately *= math.exp(-passed / AVERAGING_S)
+        self._updated_at = now
+        self._recent_bytes *= math.exp(-elapsed / AVERAGING_S)
         if math.isinf(self._bytes_per_s):
-            self._queued = 0.0
+            self._queued_bytes = 0.0
         else:
-            left = self._queued - passed * self._bytes_per_s
-            self._queued = max(0.0, left)
+            remaining = self._queued_bytes - elapsed * self._bytes_per_s
+            self._queued_bytes = max(0.0, remaining)
 
 
 def size_of(message: wire.Message) -> int:
-    """Return about how many bytes a message takes, without encoding it."""
+    """Estimate the size of a message in bytes, without encoding it."""
     match message:
         case wire.OrderRuns():
-            texts = len(message.spec) + len(message.packed_spec)
-            return texts + _ORDER_BYTES + _RUN_BYTES * len(message.runs)
+            spec_bytes = len(message.spec) + len(message.packed_spec)
+            return spec_bytes + _ORDER_BYTES + _RUN_BYTES * len(message.runs)
         case wire.OfferJob():
             return len(message.packed_spec) + _ORDER_BYTES
         case wire.ConfigReply(_, data):
@@ -114,4 +113,4 @@
         case wire.EntryList(entries):
             return _ADDRESS_BYTES * len(entries)
         case _:
-            return _SMALL_BYTES
+            return _OTHER_BYTES
