--- a/src/ferryledge/hosted/_figures.py
+++ b/src/ferryledge/hosted/_instruments.py
@@ -1,18 +1,18 @@
-"""Counts of a process, kept in plain numbers until someone asks for them."""
+"""Metric instruments that hold plain numbers until they are rendered."""
 
 import bisect
 from collections import abc
 
-#: The values of a figure's labels, in the order of their names.
+#: Values of an instrument's labels, in the order of the labels' names.
 LabelValues = tuple[str, ...]
 
 
 class Counter:
-    """Counts up, for each set of labels on its own.
+    """Counts events for each combination of label values.
 
-    :param name: full name of the figure
-    :param text: what it counts
-    :param labels: names of its labels
+    :param name: full name of the metric
+    :param text: description of what is counted
+    :param labels: names of the labels
     """
 
     def __init__(
@@ -26,16 +26,16 @@
             self.values[()] = 0.0
 
     def add(self, count: float = 1.0, *labels: str) -> None:
-        """Count something that bears these labels."""
+        """Increase the count for the given label values."""
         self.values[labels] = self.values.get(labels, 0.0) + count
 
 
 class Histogram:
-    """Counts observations by size.
+    """Counts observed values in buckets.
 
-    :param name: full name of the figure
-    :param text: what is observed
-    :param bounds: upper bounds of its buckets, rising
+    :param name: full name of the metric
+    :param text: description of what is observed
+    :param bounds: upper bounds of the buckets, in ascending order
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.name = name
         self.text = text
         self.bounds = tuple(bounds)
-        #: Observations in each bucket, the last one without bound.
+        #: Observations in each bucket; the last bucket has no upper bound.
         self.counts = [0] * (len(self.bounds) + 1)
         self.total = 0.0
 
@@ -55,11 +55,11 @@
 
 
 class Gauge:
-    """Reads a figure when someone asks for it.
+    """Reads a current value when it is rendered.
 
-    :param name: full name of the figure
-    :param text: what it tells
-    :param read: returns it
+    :param name: full name of the metric
+    :param text: description of the value
+    :param read: returns the value
     """
 
     def __init__(
@@ -70,4 +70,4 @@
         self.read = read
 
 
-Figure = Counter | Histogram | Gauge
+Instrument = Counter | Histogram | Gauge
--- a/src/ferryledge/hosted/_metrics.py
+++ b/src/ferryledge/hosted/_metrics.py
@@ -1,85 +1,86 @@
-"""Figures of a process, served for a scraper.
+"""Collects a process's metrics and serves them to Prometheus.
 
-By the Prometheus client alone: the OpenTelemetry SDK renders by it too and
-would take 3 MB more of each process.
+Only the Prometheus client is used, since the OpenTelemetry SDK would increase
+the memory use of each process.
 """
 
 from collections import abc
 
 import loguru
 
-from ferryledge.hosted import _figures
+from ferryledge.hosted import _instruments
 from ferryledge import leases
 from ferryledge import net
 from ferryledge import wire
 
-#: Where figures are served; named in deploy/system.toml.
+#: Port that serves the metrics; also set in deploy/system.toml.
 PORT = 9464
 _CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-#: Upper bounds of the histograms of seconds.
+#: Bucket bounds of histograms of durations.
 _SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)
-#: Upper bounds of the slowdown: 1 is just on the objective.
+#: Bucket bounds of the slowdown; 1 meets the objective exactly.
 _SLOWDOWN = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0)
 
 
 class Registry:
-    """The figures of one process.
+    """The metrics of one process.
 
-    :param role: first part of all names
+    :param role: role of the process, which is part of each metric's name
     """
 
     def __init__(self, role: str) -> None:
         self._role = role
-        self._figures: list[_figures.Figure] = []
+        self._instruments: list[_instruments.Instrument] = []
 
     def counter(
         self, name: str, text: str, labels: abc.Sequence[str] = ()
-    ) -> _figures.Counter:
-        """Return a new counter."""
-        counter = _figures.Counter(self._full(name), text, labels)
-        self._figures.append(counter)
+    ) -> _instruments.Counter:
+        """Add a counter and return it."""
+        counter = _instruments.Counter(self._full(name), text, labels)
+        self._instruments.append(counter)
         return counter
 
     def histogram(
         self, name: str, text: str, bounds: abc.Sequence[float] = _SECONDS
-    ) -> _figures.Histogram:
-        """Return a new histogram."""
-        histogram = _figures.Histogram(self._full(name), text, bounds)
-        self._figures.append(histogram)
+    ) -> _instruments.Histogram:
+        """Add a histogram and return it."""
+        histogram = _instruments.Histogram(self._full(name), text, bounds)
+        self._instruments.append(histogram)
         return histogram
 
     def gauge(
         self, name: str, text: str, read: abc.Callable[[], float]
     ) -> None:
-        """Add a gauge that is read when it is scraped."""
-        self._figures.append(_figures.Gauge(self._full(name), text, read))
+        """Add a gauge that is read at each scrape."""
+        self._instruments.append(
+            _instruments.Gauge(self._full(name), text, read)
+        )
 
     def _full(self, name: str) -> str:
         return f"ferryledge_{self._role}_{name}"
 
     def render(self) -> bytes:
-        """Return all figures as a scraper reads them."""
-        # Imported when someone looks: a start takes 7% fewer instructions
-        # without the renderer (callgrind).
+        """Return all metrics in the Prometheus text format."""
+        # Imported at the first scrape to shorten the start of a process.
         from ferryledge.hosted import _rendering
 
-        return _rendering.render(self._figures)
+        return _rendering.render(self._instruments)
 
     async def serve(self, host: str) -> None:
-        """Serve figures until cancelled; without its port, only log that.
+        """Serve metrics until cancelled; log an error if the port is taken.
 
-        :param host: IP number to listen on
+        :param host: IP address to listen on
         """
         app = net.asgi_app(self._handle)
         try:
             await net.serve_until_cancelled(app, host, PORT)
         except* OSError as group:
             loguru.logger.error(
-                "no metrics: {}", group.exceptions[0], step="metrics"
+                "metrics not served: {}", group.exceptions[0], step="metrics"
             )
 
     async def _handle(self, request: net.Request) -> net.HttpResponse:
-        """Answer a scraper."""
+        """Answer a scrape request."""
         if request.path != "/metrics":
             return net.HttpResponse.json(404, {"error": "no such page"})
         text = self.render()
@@ -89,7 +90,7 @@
 class EntryMetrics(leases.EntryMeter):
     """An entry's counters and histograms.
 
-    :param registry: where they are served from
+    :param registry: serves the metrics
     """
 
     def __init__(self, registry: Registry) -> None:
@@ -104,10 +105,10 @@
             "An answer's time to its objective, by the job's expected size",
             _SLOWDOWN,
         )
-        self._first = registry.histogram(
+        self._first_order = registry.histogram(
             "first_order_seconds", "From a job's arrival to its first order"
         )
-        self._put_back = registry.counter(
+        self._deferred = registry.counter(
             "put_back_jobs", "Jobs put behind all that can be in time"
         )
         self._orders = registry.counter("ordered_runs", "Runs ordered")
@@ -138,53 +139,53 @@
 
     def first_order(self, waited_s: float) -> None:
         """Count a job's first order."""
-        self._first.observe(waited_s)
+        self._first_order.observe(waited_s)
 
     def deferred(self) -> None:
-        """Count a job that waits behind those in time."""
-        self._put_back.add()
+        """Count a job deferred behind those that can still be on time."""
+        self._deferred.add()
 
     def ordered(self, count: int) -> None:
         """Count ordered runs."""
         self._orders.add(count)
 
     def not_started(self, reason: wire.NotStarted) -> None:
-        """Count a released run."""
+        """Count a run that an agent did not start."""
         self._released.add(1, str(reason))
 
     def ended(self, how: wire.HowEnded) -> None:
-        """Count an end."""
+        """Count a run's end."""
         self._ended.add(1, str(how))
 
     def moved(self) -> None:
-        """Count a move."""
+        """Count a run moved off a slow endpoint."""
         self._moved.add()
 
     def retry_delayed(self) -> None:
-        """Count a second try that waits."""
+        """Count a retry that waits for the retry budget."""
         self._retries.add()
 
     def health_changed(self) -> None:
-        """Count a change of health."""
+        """Count an endpoint's ejection or readmission."""
         self._health.add()
 
     def handover(self, what: str) -> None:
-        """Count what happened to a job between two entries."""
+        """Count an event of a handover between two entries."""
         self._handovers.add(1, what)
 
 
 class AgentMetrics(leases.AgentMeter):
     """An agent's counters and histograms.
 
-    :param registry: where they are served from
+    :param registry: serves the metrics
     """
 
     def __init__(self, registry: Registry) -> None:
         self._orders = registry.counter(
             "orders", "Runs taken (no reason) or released", ("reason",)
         )
-        self._over = registry.counter("runs_over", "Runs over", ("how",))
-        self._held = registry.histogram(
+        self._runs_over = registry.counter("runs_over", "Runs over", ("how",))
+        self._run_time = registry.histogram(
             "run_seconds", "From a run's order to its proved end"
         )
         self._unanswered = registry.counter(
@@ -193,10 +194,10 @@
         self._suspected = registry.counter(
             "streams_suspected", "Streams taken for silent"
         )
-        self._grants = registry.counter(
+        self._expired_grants = registry.counter(
             "grants_run_out", "Runs stopped for want of a grant"
         )
-        self._heartbeats = registry.counter(
+        self._ignored_heartbeats = registry.counter(
             "heartbeats_passed_over", "Heartbeats not believed, or not yet"
         )
         self._outages = registry.counter(
@@ -207,16 +208,16 @@
         )
 
     def order(self, reason: str, count: int) -> None:
-        """Count runs taken or released."""
+        """Count runs that were accepted or released."""
         self._orders.add(count, reason)
 
     def over(self, how: wire.HowEnded, held_s: float) -> None:
         """Count a run's end."""
-        self._over.add(1, str(how))
-        self._held.observe(held_s)
+        self._runs_over.add(1, str(how))
+        self._run_time.observe(held_s)
 
     def order_unanswered(self) -> None:
-        """Count an order without an answer."""
+        """Count an order that the endpoint did not answer."""
         self._unanswered.add()
 
     def outage(self) -> None:
@@ -224,17 +225,17 @@
         self._outages.add()
 
     def stream_suspected(self) -> None:
-        """Count a stream taken for silent."""
+        """Count a stream suspected of being dead."""
         self._suspected.add()
 
     def heartbeat_ignored(self) -> None:
-        """Count a heartbeat that is not believed, or not yet."""
-        self._heartbeats.add()
+        """Count a heartbeat that is rejected or not accepted yet."""
+        self._ignored_heartbeats.add()
 
     def grant_expired(self) -> None:
-        """Count a run stopped for want of a grant."""
-        self._grants.add()
+        """Count a run stopped because its grant expired."""
+        self._expired_grants.add()
 
     def renewed(self, fault: str) -> None:
-        """Count a renewal."""
+        """Count a renewal, with its fault or an empty one."""
         self._renewals.add(1, fault)
--- a/src/ferryledge/hosted/_rendering.py
+++ b/src/ferryledge/hosted/_rendering.py
@@ -1,4 +1,4 @@
-"""Renders a process's figures by the Prometheus client."""
+"""Renders a process's metrics with the Prometheus client."""
 
 from collections import abc
 import itertools
@@ -6,55 +6,63 @@
 import prometheus_client
 from prometheus_client import core
 
-from ferryledge.hosted import _figures
+from ferryledge.hosted import _instruments
 
 
 class _Collector:
-    """Hands figures to the client's registry.
+    """Provides instruments to the Prometheus client's registry.
 
-    :param figures: what to hand over
+    :param instruments: the instruments to render
     """
 
-    def __init__(self, figures: abc.Sequence[_figures.Figure]) -> None:
-        self._figures = figures
+    def __init__(
+        self, instruments: abc.Sequence[_instruments.Instrument]
+    ) -> None:
+        self._instruments = instruments
 
     def collect(self) -> abc.Iterator[core.Metric]:
-        """Yield the figures as they are now."""
-        for figure in self._figures:
-            yield _family_of(figure)
+        """Yield the current values of all instruments."""
+        for instrument in self._instruments:
+            yield _to_family(instrument)
 
 
-def _family_of(figure: _figures.Figure) -> core.Metric:
-    match figure:
-        case _figures.Counter():
+def _to_family(instrument: _instruments.Instrument) -> core.Metric:
+    match instrument:
+        case _instruments.Counter():
             counter = core.CounterMetricFamily(
-                figure.name, figure.text, labels=figure.labels
+                instrument.name, instrument.text, labels=instrument.labels
             )
-            for labels, value in figure.values.items():
+            for labels, value in instrument.values.items():
                 counter.add_metric(labels, value)
             return counter
-        case _figures.Histogram():
-            histogram = core.HistogramMetricFamily(figure.name, figure.text)
-            histogram.add_metric([], _buckets_of(figure), figure.total)
+        case _instruments.Histogram():
+            histogram = core.HistogramMetricFamily(
+                instrument.name, instrument.text
+            )
+            histogram.add_metric(
+                [], _cumulative_buckets(instrument), instrument.total
+            )
             return histogram
-        case _figures.Gauge():
+        case _instruments.Gauge():
             return core.GaugeMetricFamily(
-                figure.name, figure.text, figure.read()
+                instrument.name, instrument.text, instrument.read()
             )
 
 
-def _buckets_of(figure: _figures.Histogram) -> list[tuple[str, float]]:
-    """Return each bucket's upper bound with all that is not above it."""
-    bounds = [str(bound) for bound in figure.bounds] + ["+Inf"]
-    sums = itertools.accumulate(figure.counts)
+def _cumulative_buckets(
+    instrument: _instruments.Histogram,
+) -> list[tuple[str, float]]:
+    """Return each bucket's upper bound with its cumulative count."""
+    bounds = [str(bound) for bound in instrument.bounds] + ["+Inf"]
+    sums = itertools.accumulate(instrument.counts)
     return [
         (bound, float(count))
         for bound, count in zip(bounds, sums, strict=True)
     ]
 
 
-def render(figures: abc.Sequence[_figures.Figure]) -> bytes:
-    """Return figures as a scraper reads them."""
+def render(instruments: abc.Sequence[_instruments.Instrument]) -> bytes:
+    """Return the instruments' values in the Prometheus text format."""
     registry = prometheus_client.CollectorRegistry()
-    registry.register(_Collector(figures))
+    registry.register(_Collector(instruments))
     return prometheus_client.generate_latest(registry)
--- a/src/ferryledge/hosted/tests/test_metrics.py
+++ b/src/ferryledge/hosted/tests/test_metrics.py
@@ -1,9 +1,9 @@
-"""A process's figures."""
+"""Tests the rendering of a process's metrics."""
 
 from ferryledge.hosted import _metrics
 
 
-def test_figures_are_rendered_as_a_scraper_reads_them() -> None:
+def test_metrics_are_rendered_in_the_prometheus_format() -> None:
     registry = _metrics.Registry("agent")
     runs = registry.counter("runs", "Runs over", ("how",))
     unanswered = registry.counter("unanswered", "Orders")
