--- a/src/ferryledge/hosted/__init__.py
+++ b/src/ferryledge/hosted/__init__.py
@@ -1,5 +1,5 @@
-"""The daemons as they run on the users' platform.
+"""The entry and agent daemons that run on the users' platform.
 
-Thin shells: the decisions are those of :mod:`ferryledge.leases`, the
-platform's names and calls those of :mod:`ferryledge.platform`.
+They connect the scheduling cores of :mod:`ferryledge.leases` to the network
+and to the platform, whose formats and calls :mod:`ferryledge.platform` holds.
 """
--- a/src/ferryledge/hosted/__main__.py
+++ b/src/ferryledge/hosted/__main__.py
@@ -1,22 +1,22 @@
-"""Starts a daemon with as little work as possible."""
+"""Starts a daemon; kept small so that it listens early."""
 
 import gc
 import os
 import sys
 
-#: Tells loguru not to make a handler of its own when it is imported: it would
-#: be removed at once, and making it is work.
-_OWN_HANDLER_VARIABLE = "LOGURU_AUTOINIT"
+#: Variable that keeps loguru from adding a default handler when it is
+#: imported; the daemon configures its own.
+_AUTOINIT_VARIABLE = "LOGURU_AUTOINIT"
 
 
 def main() -> None:
-    """Import what a daemon needs and run it.
+    """Open the listening sockets, then import and run the daemon.
 
-    Nothing that is imported becomes garbage, so collections would only make
-    the start longer.
+    Garbage collection is disabled during the imports: they create few
+    unreachable objects, and collections would only lengthen the start.
     """
     gc.disable()
-    os.environ[_OWN_HANDLER_VARIABLE] = "False"
+    os.environ[_AUTOINIT_VARIABLE] = "False"
     from ferryledge.hosted import _listening
 
     listeners = _listening.listen(sys.argv[1:])
--- a/src/ferryledge/hosted/_listening.py
+++ b/src/ferryledge/hosted/_listening.py
@@ -1,9 +1,8 @@
-"""Listens before the rest of a process is imported.
+"""Opens listening sockets before the rest of a process is imported.
 
-It answers the return of power everywhere, when imports take each process
-half a second and more. Connections that are opened meanwhile wait in the
-machine's queue for the process to take them; refused ones would come again
-much later, as those of clients do, or be tried over and over.
+Imports take a noticeable time, above all when all processes start at once.
+Connections that arrive meanwhile wait in the socket's backlog instead of being
+refused and retried by clients after a delay.
 """
 
 from collections import abc
@@ -16,22 +15,22 @@
 
 
 class Role(enum.StrEnum):
-    """What a process is, as the command line names it."""
+    """Role of a process, as given on the command line."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class Listeners:
-    """Sockets that listen already, by their addresses."""
+    """Listening sockets that were opened early, by address."""
 
     def __init__(self) -> None:
         self._sockets: dict[tuple[str, int], socket.socket] = {}
 
     def open(self, address: tuple[str, int]) -> None:
-        """Listen on an address, if it can be had.
+        """Listen on an address if possible.
 
-        If not, whoever serves there finds out why.
+        Errors are ignored: the server reports them when it binds the address.
         """
         with contextlib.suppress(OSError):
             listener = _sockets.bind(*address)
@@ -39,14 +38,16 @@
             self._sockets[address] = listener
 
     def take(self, address: tuple[str, int]) -> socket.socket | None:
-        """Return the socket for an address, once; none if there is none."""
+        """Remove and return the socket for an address, or return none."""
         return self._sockets.pop(address, None)
 
 
 def listen(command: abc.Sequence[str]) -> Listeners:
-    """Listen where a role's settings say, as far as they can be read.
+    """Listen on the addresses that the settings name for a role.
 
-    :param command: the words of the command line, the role first
+    Invalid settings are ignored here; the command reports them.
+
+    :param command: command-line arguments, the role first
     """
     listeners = Listeners()
     with contextlib.suppress(platform.SettingsError):
@@ -58,7 +59,7 @@
 def _addresses(
     command: abc.Sequence[str], settings: platform.Settings
 ) -> list[tuple[str, int]]:
-    """Return the addresses at which a role is called."""
+    """Return the addresses that a role serves."""
     addresses = settings.listen_addrs
     match command:
         case [Role.ENTRY]:
--- a/src/ferryledge/hosted/_reload.py
+++ b/src/ferryledge/hosted/_reload.py
@@ -1,4 +1,4 @@
-"""Takes over changed settings while a daemon runs."""
+"""Reloads the settings of a running daemon."""
 
 import loguru
 
@@ -8,15 +8,15 @@
 def reload_settings(
     settings: platform.Settings, store: platform.StoreClient
 ) -> platform.Settings:
-    """Return the settings as they are now; wrong ones change nothing.
+    """Return the reloaded settings, or the old ones if they are invalid.
 
-    :param settings: those in force
-    :param store: moves to the store's present address
+    :param settings: the settings in force
+    :param store: is moved to the store's address in the new settings
     """
     try:
         changed = platform.read_settings()
     except platform.SettingsError as exc:
-        loguru.logger.error("settings kept: {}", exc, step="reload")
+        loguru.logger.error("settings not reloaded: {}", exc, step="reload")
         return settings
     store.move(changed.store.address)
     return changed
--- a/src/ferryledge/hosted/tests/test_first_answer.py
+++ b/src/ferryledge/hosted/tests/test_first_answer.py
@@ -1,9 +1,7 @@
-"""A store that is back while a call of a start still hangs.
+"""Tests recovery from a store call that hangs at the start of a process.
 
-All machines got their power back while the part of the store that holds the
-configurations said nothing. The entries had streams of all agents 0.1 s after
-they listened, and no configuration for 1.8 s: their first call took its whole
-time. Of the 382 jobs of those four seconds 29 were in time and 247 refused.
+Guards against entries that refuse jobs for lack of a configuration until
+their first call times out, although the store answers again.
 """
 
 import math
@@ -22,11 +20,11 @@
 
 
 class _Store:
-    """Answers calls that are begun from some time on.
+    """Answers only calls that begin after its recovery.
 
-    :param back_s: when that is, in seconds from the start
-    :param busy: whether it turns earlier calls away, instead of saying nothing
-    :param takes_s: seconds until the first call is answered
+    :param back_s: seconds from the start until the recovery
+    :param busy: whether earlier calls are refused at once instead of hanging
+    :param takes_s: seconds that the first call takes, if it is answered
     """
 
     def __init__(
@@ -50,7 +48,7 @@
 
 
 class _Follower:
-    """Needs one answer, as what follows the configuration does."""
+    """Needs one answer, as the configuration's follower does."""
 
     def __init__(self, store: _Store) -> None:
         self._store = store
@@ -73,17 +71,17 @@
 
 
 def _start(store: _Store) -> tuple[_Follower, int]:
-    """Return what follows the store after a start, and how many probes."""
+    """Run a follower; return it and the number of probes."""
     follower = _Follower(store)
     probes = 0
 
-    async def look() -> str:
+    async def probe() -> str:
         nonlocal probes
         probes += 1
         return await store.call()
 
     async def main() -> None:
-        await _first_answer.run(follower.run, look, follower.done)
+        await _first_answer.run(follower.run, probe, follower.done)
 
     paused_clock.run(main)
     return follower, probes
@@ -95,27 +93,27 @@
     assert probes == 0
 
 
-def test_store_that_takes_its_time_is_not_called_anew() -> None:
+def test_call_to_a_slow_store_is_not_restarted() -> None:
     follower, probes = _start(_Store(0.0, takes_s=1.2))
     assert follower.runs == 1
     assert probes == 1
 
 
 @pytest.mark.parametrize("back_s", [0.05, 0.15, 0.2, 0.3, 0.7])
-def test_what_hangs_is_begun_anew_soon_after(back_s: float) -> None:
+def test_hanging_call_is_restarted_soon(back_s: float) -> None:
     follower, _ = _start(_Store(back_s))
     assert follower.done_at - back_s < 0.6
     assert follower.runs == 2
 
 
 @pytest.mark.parametrize("back_s", [3.0, 6.0, 12.0])
-def test_long_silence_costs_few_probes(back_s: float) -> None:
+def test_long_outage_takes_few_probes(back_s: float) -> None:
     follower, probes = _start(_Store(back_s))
     assert follower.done_at - back_s < 1.1
     assert probes < back_s + 4
 
 
-def test_store_that_turns_calls_away_is_probed_on() -> None:
+def test_probes_of_a_store_that_refuses_calls_continue() -> None:
     follower, probes = _start(_Store(0.4, busy=True))
     assert follower.done_at - 0.4 < 0.6
     assert probes > 1
@@ -125,7 +123,7 @@
     store = _Store(math.inf)
     probes = 0
 
-    async def look() -> str:
+    async def probe() -> str:
         nonlocal probes
         probes += 1
         return await store.call()
@@ -135,7 +133,7 @@
         with anyio.move_on_after(9.0):
             async with anyio.create_task_group() as group:
                 group.start_soon(
-                    _first_answer.run, anyio.sleep_forever, look, done
+                    _first_answer.run, anyio.sleep_forever, probe, done
                 )
                 await anyio.sleep(0.7)
                 done.set()
@@ -144,7 +142,7 @@
     assert probes == 2
 
 
-def test_first_answer_of_several_tries_counts() -> None:
+def test_first_answer_of_several_attempts_is_returned() -> None:
     store = _Store(0.2)
 
     async def main() -> float:
@@ -173,7 +171,7 @@
     anyio.run(main)
 
 
-def test_end_of_the_process_ends_what_runs() -> None:
+def test_cancellation_does_not_restart_the_operation() -> None:
     store = _Store(math.inf)
     follower = _Follower(store)
 
--- a/src/ferryledge/hosted/tests/test_listening.py
+++ b/src/ferryledge/hosted/tests/test_listening.py
@@ -1,8 +1,7 @@
-"""A process that is still importing takes connections already.
+"""Tests that a process accepts connections while it is still importing.
 
-After a loss of all power clients' requests were refused until the entries had
-imported what they need, and came again 1.3 s after that. Quick ones are of no
-use by then.
+Guards against refused requests at a start: clients retry them only after a
+delay.
 """
 
 import contextlib
@@ -21,27 +20,27 @@
 from ferryledge.platform import standin
 
 _HOST = "127.0.0.1"
-#: Ports in a row that a settings file names.
+#: Number of consecutive ports that a settings file names.
 _PORTS = 13
-#: What takes most of a start.
+#: Modules whose imports take most of a start.
 _HEAVY = ("asyncio", "loguru", "anyio", "uvicorn", "ferryledge.net")
 
 
 def _free_ports() -> int:
-    """Return the first of ports in a row that nothing listens on."""
+    """Return the first of several consecutive free ports."""
     with contextlib.ExitStack() as stack:
         first = stack.enter_context(socket.socket())
         first.bind((_HOST, 0))
         port: int = first.getsockname()[1]
-        for further in range(port + 1, port + _PORTS):
+        for next_port in range(port + 1, port + _PORTS):
             probe = stack.enter_context(socket.socket())
-            probe.bind((_HOST, further))
+            probe.bind((_HOST, next_port))
         return port
 
 
 @pytest.fixture
 def text() -> str:
-    """Return settings whose addresses are all free."""
+    """Return the text of settings whose addresses are all free."""
     while True:
         with contextlib.suppress(OSError, OverflowError):
             port = _free_ports()
@@ -52,7 +51,7 @@
 def settings(
     text: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> platform.Settings:
-    """Return what the settings file of this process holds."""
+    """Return the settings that this process reads from its file."""
     path = tmp_path / "settings.toml"
     path.write_text(text)
     monkeypatch.setenv(_settings.SETTINGS_VARIABLE, str(path))
@@ -60,14 +59,14 @@
 
 
 def _is_taken(address: tuple[str, int]) -> bool:
-    """Return whether a connection to an address is opened."""
+    """Return whether an address accepts connections."""
     with contextlib.suppress(ConnectionRefusedError):
         socket.create_connection(address, 5.0).close()
         return True
     return False
 
 
-def test_each_role_listens_where_it_is_called(
+def test_each_role_listens_on_the_addresses_it_serves(
     settings: platform.Settings,
 ) -> None:
     addresses = settings.listen_addrs
@@ -87,7 +86,7 @@
                 listener.close()
 
 
-def test_nothing_heavy_is_imported_before() -> None:
+def test_listening_needs_no_slow_imports() -> None:
     code = (
         "import sys\n"
         "from ferryledge.hosted import _listening\n"
@@ -106,7 +105,7 @@
 
 
 @pytest.mark.parametrize("command", [[], ["--help"], ["entry", "--help"]])
-def test_other_commands_listen_nowhere(
+def test_other_commands_do_not_listen(
     settings: platform.Settings, command: list[str]
 ) -> None:
     _listening.listen(command)
@@ -114,7 +113,7 @@
     assert not _is_taken(frontend)
 
 
-def test_missing_settings_are_told_by_the_command(
+def test_missing_settings_are_ignored(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.delenv(_settings.SETTINGS_VARIABLE, raising=False)
@@ -122,7 +121,7 @@
     assert listeners.take((_HOST, 1)) is None
 
 
-def test_address_that_is_in_use_is_left_to_the_server() -> None:
+def test_address_in_use_is_skipped() -> None:
     listeners = _listening.Listeners()
     with socket.socket() as other:
         other.bind((_HOST, 0))
@@ -132,7 +131,7 @@
 
 
 @pytest.mark.anyio
-async def test_request_from_before_the_start_is_answered(
+async def test_request_sent_before_the_start_is_answered(
     settings: platform.Settings,
 ) -> None:
     listeners = _listening.listen(["entry"])
--- a/src/ferryledge/hosted/tests/test_refusals.py
+++ b/src/ferryledge/hosted/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that the shell gives before the core sees a job."""
+"""Tests refusals that an entry gives before its core receives a job."""
 
 import anyio
 import loguru
@@ -21,13 +21,13 @@
 
 @pytest.fixture
 def logged() -> list[dict[str, object]]:
-    """Return the fields of all lines that are logged meanwhile."""
+    """Return a list that receives the fields of each logged line."""
     lines: list[dict[str, object]] = []
-    number = loguru.logger.add(
+    handler_id = loguru.logger.add(
         lambda message: lines.append(dict(message.record["extra"]))
     )
     yield lines
-    loguru.logger.remove(number)
+    loguru.logger.remove(handler_id)
 
 
 def _request() -> net.Request:
--- a/src/ferryledge/hosted/tests/test_renewals.py
+++ b/src/ferryledge/hosted/tests/test_renewals.py
@@ -1,4 +1,4 @@
-"""When an agent calls its endpoint again."""
+"""Tests when an agent retries a renewal of its endpoint's lease."""
 
 import json
 import math
@@ -16,7 +16,7 @@
 Zone = "north"
 PortRange = [7720, 7735]
 """
-_BEAT = {
+_HEARTBEAT = {
     "Backend": "desk", "Address": "a:1", "Zone": "north", "Version": "v1",
     "Slots": 8, "State": "ready", "ColdMs": 0, "RemainingMs": 0,
     "Capacity": {"Cpu": 16000, "MemMb": 100, "Gpu": 0},
@@ -25,7 +25,7 @@
 
 
 class _Core:
-    """Would wait for ever after a renewal that failed."""
+    """A core that never retries a failed renewal by itself."""
 
     def renewal(self, now: float) -> leases.Renewal:
         return leases.Renewal("i-1", 0, 1, 0, 0, retry_s=math.inf)
@@ -40,7 +40,7 @@
 
 
 class _Calls:
-    """Calls to an endpoint at which nothing listens."""
+    """Calls to an endpoint that refuses connections."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -50,8 +50,8 @@
         return leases.LeaseNotRenewed(leases.CallFault.DOWN, "i-1")
 
 
-def test_a_heartbeat_ends_the_wait_after_a_refused_call() -> None:
-    """Without it an endpoint that is back would be found by chance."""
+def test_heartbeat_triggers_a_retry_after_a_refused_call() -> None:
+    """A recovered endpoint is called again at its first heartbeat."""
 
     async def main() -> tuple[int, int]:
         agent = _agent.HostedAgent(
@@ -64,7 +64,7 @@
             for _ in range(10):
                 await lowlevel.checkpoint()
             refused = calls.count
-            agent._heartbeat("i-1", json.dumps(_BEAT).encode())
+            agent._heartbeat("i-1", json.dumps(_HEARTBEAT).encode())
             for _ in range(10):
                 await lowlevel.checkpoint()
             group.cancel_scope.cancel()
--- a/src/ferryledge/hosted/tests/test_starts.py
+++ b/src/ferryledge/hosted/tests/test_starts.py
@@ -1,8 +1,7 @@
-"""What a start imports.
+"""Tests the cost of starting a process.
 
-Each import is paid at every start, by all processes at once. After a loss of
-power, entries with an eighth of a core answered 12 of 201 jobs of the next
-four seconds in time; without the cost of starts 86 of 94 were.
+Guards against needless imports and other work that lengthen the start, during
+which jobs are answered late.
 """
 
 import os
@@ -15,14 +14,14 @@
 from ferryledge.platform import _settings
 from ferryledge.platform import standin
 
-_NOBODY = (
+_UNUSED_BY_ALL = (
     "http.server",
     "opentelemetry",
     "prometheus_client",
     "pydantic",
     "ferryledge.core",
 )
-_NO_AGENT = (
+_UNUSED_BY_AGENT = (
     "ferryledge.health._tracker",
     "ferryledge.leases._entry",
     "ferryledge.leases._jobs",
@@ -31,7 +30,7 @@
     "ferryledge.platform._config",
     "ferryledge.platform._jobs",
 )
-_NO_ENTRY = (
+_UNUSED_BY_ENTRY = (
     "ferryledge.leases._agent",
     "ferryledge.leases._owners",
     "ferryledge.platform._endpoint",
@@ -40,22 +39,25 @@
 
 
 @pytest.mark.parametrize(
-    ("role", "needless"),
-    [("_agent", _NOBODY + _NO_AGENT), ("_entry", _NOBODY + _NO_ENTRY)],
+    ("role", "unused"),
+    [
+        ("_agent", _UNUSED_BY_ALL + _UNUSED_BY_AGENT),
+        ("_entry", _UNUSED_BY_ALL + _UNUSED_BY_ENTRY),
+    ],
 )
-def test_a_start_imports_only_what_it_needs(
-    role: str, needless: tuple[str, ...]
+def test_start_imports_no_unused_modules(
+    role: str, unused: tuple[str, ...]
 ) -> None:
     imported = _start(role, "print(*sys.modules)")
-    assert [name for name in needless if name in imported] == []
+    assert [name for name in unused if name in imported] == []
 
 
-def _start(role: str, then: str) -> list[str]:
-    """Return the words that a line prints after a role's imports."""
+def _start(role: str, statements: str) -> list[str]:
+    """Import a role's modules, run statements and return their output."""
     core = f"leases.Lease{role.removeprefix('_').capitalize()}"
     code = (
         f"import sys, ferryledge.hosted._commands, ferryledge.hosted.{role}\n"
-        f"from ferryledge import leases\n{core}\n{then}"
+        f"from ferryledge import leases\n{core}\n{statements}"
     )
     ran = subprocess.run(
         [sys.executable, "-c", code],
@@ -66,33 +68,33 @@
     return ran.stdout.split()
 
 
-#: Prints the classes that write their own methods when they are imported.
+#: Prints the data classes, whose methods are generated at the import.
 _PRINT_DATA_CLASSES = """
 for module in list(sys.modules.values()):
-    for found in list(vars(module).values()):
-        if "__dataclass_fields__" in getattr(found, "__dict__", {}):
-            print(f"{found.__module__}.{found.__qualname__}")
+    for value in list(vars(module).values()):
+        if "__dataclass_fields__" in getattr(value, "__dict__", {}):
+            print(f"{value.__module__}.{value.__qualname__}")
 """
 
 
-@pytest.mark.parametrize(("role", "most"), [("_agent", 4), ("_entry", 30)])
-def test_few_classes_write_their_own_methods(role: str, most: int) -> None:
-    """Each takes as long as the whole import of a small module."""
-    found = set(_start(role, _PRINT_DATA_CLASSES))
-    own = [name for name in found if name.startswith("ferryledge.")]
-    assert len(own) <= most, sorted(own)
+@pytest.mark.parametrize(("role", "limit"), [("_agent", 4), ("_entry", 30)])
+def test_start_creates_few_data_classes(role: str, limit: int) -> None:
+    """Each data class takes as long as the import of a small module."""
+    names = set(_start(role, _PRINT_DATA_CLASSES))
+    own = [name for name in names if name.startswith("ferryledge.")]
+    assert len(own) <= limit, sorted(own)
 
 
-#: Runs a command up to its event loop; prints how often collections ran
-#: before and by then, whether they may run, whether some objects are left out,
-#: and how many handlers for the log were made.
+#: Runs a command up to its event loop. Prints the number of collections before
+#: the start; then that number at the event loop, whether collections are
+#: enabled, whether objects are frozen, and the number of log handlers.
 _RUN_COMMAND = """
 import gc, sys
 import anyio
 from ferryledge.hosted import __main__
 
 def count():
-    return sum(one["collections"] for one in gc.get_stats())
+    return sum(stats["collections"] for stats in gc.get_stats())
 
 def run(*args, **options):
     handlers = sys.modules["loguru"].logger.add(sys.stderr)
@@ -105,7 +107,7 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "agent"])
-def test_a_start_collects_nothing_and_makes_one_handler(
+def test_start_runs_no_collection_and_adds_one_log_handler(
     role: str, tmp_path: pathlib.Path
 ) -> None:
     settings = tmp_path / "settings.toml"
@@ -124,5 +126,5 @@
         check=True,
         env=environment,
     )
-    lines = [one for one in ran.stdout.splitlines() if one[0] != "{"]
+    lines = [line for line in ran.stdout.splitlines() if line[0] != "{"]
     assert lines[1] == f"{lines[0]} True True 1"
