--- a/src/ferryledge/hosted/_agent.py
+++ b/src/ferryledge/hosted/_agent.py
@@ -1,4 +1,8 @@
-"""The agent's shell on the platform: heartbeats, orders, renewals."""
+"""Runs an agent on the platform.
+
+Connects the agent's core, :class:`ferryledge.leases.LeaseAgent`, to the
+endpoint over HTTP, to entries over streams, and to the store.
+"""
 
 import anyio
 from anyio import abc as anyio_abc
@@ -6,9 +10,9 @@
 import msgspec
 
 from ferryledge.hosted import _config_reader
+from ferryledge.hosted import _endpoint_record
 from ferryledge.hosted import _listening
 from ferryledge.hosted import _members
-from ferryledge.hosted import _memory
 from ferryledge.hosted import _metrics
 from ferryledge.hosted import _reload
 from ferryledge import leases
@@ -18,15 +22,16 @@
 from ferryledge import wire
 
 _DRAIN_POLL_S = 0.02
-#: Seconds before the platform's kill at which this process ends.
+#: Seconds before the platform's SIGKILL at which this process ends.
 _KILL_MARGIN_S = 0.5
-#: Seconds between renewals at the least: ends within it share an answer.
+#: Minimum seconds between renewals; runs that end within them are reported in
+#: one answer.
 _RENEW_PAUSE_S = 0.004
-#: Seconds that the store has for its answer before seeds are dialled: they
-#: are few, and each agent that dials one takes a handshake of it.
-_STORE_FIRST_S = 0.3
-#: Seconds between looks at the store while no entry is connected.
-_LOOK_AGAIN_S = 3.0
+#: Seconds to wait for the store before seeds are dialled, which spares the few
+#: seeds a handshake with every agent.
+_SEED_DELAY_S = 0.3
+#: Seconds between reads of the store while no entry is connected.
+_REDISCOVER_S = 3.0
 
 
 class HostedAgent:
@@ -34,7 +39,7 @@
 
     :param settings: checked settings
     :param keys: the accepted shared keys for streams
-    :param listeners: the sockets that listen already; none is no socket
+    :param listeners: sockets that are already open; defaults to none
     """
 
     def __init__(
@@ -47,25 +52,28 @@
         self._listeners = listeners or _listening.Listeners()
         self._keys = keys
         self._store = platform.StoreClient(settings.store.address)
-        self._memory = _memory.EndpointMemory(
+        self._endpoint_record = _endpoint_record.EndpointRecord(
             self._store, settings.node, settings.store.partitions
         )
         self._group: anyio_abc.TaskGroup | None = None
         #: Set by the endpoint's next heartbeat.
-        self._heard = anyio.Event()
-        #: Whether some entry is known.
-        self._found = False
+        self._heartbeat_received = anyio.Event()
+        #: Whether the store has returned any entry.
+        self._entries_known = False
 
     def unfinished(self) -> str:
-        """Return what is in flight, for the log."""
+        """Describe the unfinished work, for the log."""
         return "running tasks"
 
     def reload(self) -> None:
-        """Take over changed settings; wrong ones change nothing."""
+        """Reload the settings; invalid ones change nothing."""
         self._settings = _reload.reload_settings(self._settings, self._store)
 
     async def run(self, drain: anyio.Event) -> None:
-        """Serve until the event is set and the runs have ended."""
+        """Serve until the event is set, then wait for open runs and return.
+
+        :param drain: set when the process is to stop
+        """
         settings = self._settings
         self._registry = _metrics.Registry("agent")
         timing = leases.LeaseTiming.within(
@@ -81,10 +89,10 @@
         )
         self._log = logs.DecisionLog()
         self._driver = net.Driver(
-            self._core, self._perform, self._ticked, self._core.tick_by
+            self._core, self._perform, self._write_notes, self._core.tick_by
         )
         self._mesh = net.Mesh(self._keys, self._hello, self._on_event)
-        self._reader = _config_reader.ConfigReader(
+        self._config_reader = _config_reader.ConfigReader(
             self._store, settings, self._mesh.send
         )
         self._dialler = _members.Dialler(self._mesh)
@@ -110,10 +118,10 @@
             group.start_soon(self._registry.serve, settings.stream_host)
             group.start_soon(self._driver.run)
             group.start_soon(self._renew)
-            group.start_soon(self._recall_endpoint)
-            group.start_soon(self._memory.run)
-            group.start_soon(self._find_entries)
-            group.start_soon(self._reader.run)
+            group.start_soon(self._restore_endpoint)
+            group.start_soon(self._endpoint_record.run)
+            group.start_soon(self._discover_entries)
+            group.start_soon(self._config_reader.run)
             loguru.logger.info("agent ready", step="join")
             await drain.wait()
             await self._finish()
@@ -126,7 +134,7 @@
         )
 
     def _on_event(self, event: wire.StreamEvent) -> None:
-        if not self._reader.take(event):
+        if not self._config_reader.handle(event):
             self._driver.post(event)
 
     async def _finish(self) -> None:
@@ -138,45 +146,47 @@
                 await anyio.sleep(_DRAIN_POLL_S)
         loguru.logger.info("agent stopped", step="drain")
 
-    async def _recall_endpoint(self) -> None:
-        seen = await self._memory.recall()
-        if seen is not None:
-            self._driver.post(leases.EndpointRestored(seen))
+    async def _restore_endpoint(self) -> None:
+        heartbeat = await self._endpoint_record.load()
+        if heartbeat is not None:
+            self._driver.post(leases.EndpointRestored(heartbeat))
 
-    async def _find_entries(self) -> None:
+    async def _discover_entries(self) -> None:
         assert self._group is not None
         self._group.start_soon(self._dial_seeds)
         while True:
             address = self._settings.store.address
-            await _members.read_once(address, self._on_found)
-            await anyio.sleep(_LOOK_AGAIN_S)
+            await _members.read_once(address, self._on_entries)
+            await anyio.sleep(_REDISCOVER_S)
             while self._mesh.names():
-                await anyio.sleep(_LOOK_AGAIN_S)
+                await anyio.sleep(_REDISCOVER_S)
 
     async def _dial_seeds(self) -> None:
-        """Dial the seeds if the store tells of no entry soon."""
+        """Dial the seeds unless the store returns an entry soon."""
         settings = self._settings
         assert self._group is not None
-        await anyio.sleep(_STORE_FIRST_S)
-        if not self._found:
-            hosts = [platform.split_address(one)[0] for one in settings.seeds]
+        await anyio.sleep(_SEED_DELAY_S)
+        if not self._entries_known:
+            hosts = [
+                platform.split_address(seed)[0] for seed in settings.seeds
+            ]
             self._dialler.dial_seeds(self._group, hosts, settings.stream_port)
 
-    def _on_found(self, entries: tuple[wire.EntryAddress, ...]) -> None:
-        self._found = self._found or bool(entries)
+    def _on_entries(self, entries: tuple[wire.EntryAddress, ...]) -> None:
+        self._entries_known = self._entries_known or bool(entries)
         self._driver.post(leases.EntriesFound(entries))
 
     # The endpoint.
 
     async def _renew(self) -> None:
-        """Renew the endpoint's lease for ever."""
+        """Renew the endpoint's lease until cancelled."""
         while True:
             renewal = self._core.renewal(self._driver.now())
             answer = await self._calls.renew(renewal)
             self._driver.post(answer)
             if isinstance(answer, leases.LeaseNotRenewed):
                 with anyio.move_on_after(renewal.retry_s):
-                    await self._heard.wait()
+                    await self._heartbeat_received.wait()
             else:
                 await anyio.sleep(_RENEW_PAUSE_S)
 
@@ -194,7 +204,7 @@
         gauge(
             "config_entries",
             "Entries that configurations are read for",
-            lambda: self._reader.entries,
+            lambda: self._config_reader.entries,
         )
         gauge(
             "slowness_ratio",
@@ -202,7 +212,7 @@
             lambda: core.slowness,
         )
 
-    def _ticked(self) -> None:
+    def _write_notes(self) -> None:
         self._log.write(self._driver.now(), self._core.pop_notes())
 
     def _perform(self, action: leases.AgentAction) -> None:
@@ -216,8 +226,8 @@
                 self._group.start_soon(self._stop, action)
             case leases.ListRuns(renewal):
                 self._group.start_soon(self._list_runs, renewal)
-            case leases.SaveEndpoint(seen):
-                self._memory.remember(seen)
+            case leases.SaveEndpoint(heartbeat):
+                self._endpoint_record.save(heartbeat)
             case _:
                 self._change_streams(self._group, action)
 
@@ -235,7 +245,7 @@
                 self._dialler.forget_seeds()
                 self._dialler.dial(group, entries)
             case leases.DisconnectEntry(name):
-                self._dialler.leave(name)
+                self._dialler.drop(name)
 
     async def _start(self, order: leases.StartRun) -> None:
         self._driver.post(await self._calls.start(order))
@@ -252,18 +262,18 @@
                 return self._heartbeat(endpoint_id, await request.body())
             case "POST", ("instances", endpoint_id, "deregister"):
                 body = await request.body()
-                left = platform.parse_deregister(endpoint_id, body)
-                self._driver.post(left)
+                event = platform.parse_deregister(endpoint_id, body)
+                self._driver.post(event)
                 return net.HttpResponse.json(200, {})
         return net.HttpResponse.json(404, {"error": "no such page"})
 
     def _heartbeat(self, endpoint_id: str, body: bytes) -> net.HttpResponse:
         try:
-            seen = platform.parse_heartbeat(endpoint_id, body)
+            heartbeat = platform.parse_heartbeat(endpoint_id, body)
         except platform.HeartbeatError as exc:
             loguru.logger.warning("{}", exc, step="heartbeat")
             return net.HttpResponse.json(400, {"error": str(exc)})
-        self._driver.post(seen)
-        self._heard.set()
-        self._heard = anyio.Event()
+        self._driver.post(heartbeat)
+        self._heartbeat_received.set()
+        self._heartbeat_received = anyio.Event()
         return net.HttpResponse.json(200, {})
--- a/src/ferryledge/hosted/_commands.py
+++ b/src/ferryledge/hosted/_commands.py
@@ -1,4 +1,4 @@
-"""The commands that the platform runs: ``entry`` and ``agent``."""
+"""Defines the ``entry`` and ``agent`` commands that the platform runs."""
 
 import gc
 import os
@@ -12,11 +12,12 @@
 from ferryledge import net
 from ferryledge import platform
 
-#: Variable with the keys for streams, separated by commas.
+#: Variable with the shared keys for streams, separated by commas.
 KEYS_VARIABLE = "FERRYLEDGE_PEER_KEYS"
-#: Variable that is "off" where entries keep their clients' jobs.
-HAND_ON_VARIABLE = "FERRYLEDGE_HAND_ON"
-#: Exit code for a wrong setting.
+#: Variable that is "on" (the default) or "off": whether entries hand jobs
+#: over to each other.
+HANDOVER_VARIABLE = "FERRYLEDGE_HAND_ON"
+#: Exit code for an invalid setting.
 EXIT_USAGE = 2
 
 
@@ -39,18 +40,18 @@
     return tuple(key for key in keys.split(",") if key)
 
 
-def _hands_on() -> bool:
-    text = os.environ.get(HAND_ON_VARIABLE, "on")
+def _handover_enabled() -> bool:
+    text = os.environ.get(HANDOVER_VARIABLE, "on")
     if text not in ("on", "off"):
-        click.echo(f"error: set {HAND_ON_VARIABLE} to on or off", err=True)
+        click.echo(f"error: set {HANDOVER_VARIABLE} to on or off", err=True)
         sys.exit(EXIT_USAGE)
     return text == "on"
 
 
-def _end_start() -> None:
-    """Let collections begin, which the start put off.
+def _enable_gc() -> None:
+    """Enable garbage collection, which was disabled for the start.
 
-    What was imported stays: they need not look at it each time.
+    Imported objects are frozen, so that collections don't traverse them.
     """
     gc.freeze()
     gc.enable()
@@ -60,8 +61,8 @@
 def main() -> None:
     """Run a daemon on the users' platform.
 
-    Settings come from the file that FERRYLEDGE_CONFIG names, the keys for
-    streams from FERRYLEDGE_PEER_KEYS. Entries hand waiting jobs on to each
+    Settings are read from the file that FERRYLEDGE_CONFIG names, the keys for
+    streams from FERRYLEDGE_PEER_KEYS. Entries hand waiting jobs over to each
     other unless FERRYLEDGE_HAND_ON is off.
     """
 
@@ -69,22 +70,22 @@
 @main.command()
 @click.pass_obj
 def entry(listeners: _listening.Listeners) -> None:
-    """Take clients' jobs and order their runs."""
+    """Accept clients' jobs and order their runs."""
     from ferryledge.hosted import _entry
 
     daemon = _entry.HostedEntry(
-        _settings(), _keys(), _hands_on(), listeners=listeners
+        _settings(), _keys(), _handover_enabled(), listeners=listeners
     )
-    _end_start()
+    _enable_gc()
     sys.exit(net.run_daemon(daemon.run, daemon.unfinished, daemon.reload))
 
 
 @main.command()
 @click.pass_obj
 def agent(listeners: _listening.Listeners) -> None:
-    """Own the endpoint on this machine."""
+    """Manage the endpoint on this machine."""
     from ferryledge.hosted import _agent
 
     daemon = _agent.HostedAgent(_settings(), _keys(), listeners=listeners)
-    _end_start()
+    _enable_gc()
     sys.exit(net.run_daemon(daemon.run, daemon.unfinished, daemon.reload))
--- a/src/ferryledge/hosted/_config.py
+++ b/src/ferryledge/hosted/_config.py
@@ -1,4 +1,4 @@
-"""Follows what operators write into the store."""
+"""Follows the log of configurations and cordons in the store."""
 
 from collections import abc
 import contextlib
@@ -11,25 +11,25 @@
 from ferryledge import platform
 from ferryledge import wire
 
-#: How long one call waits for a change, in seconds: short, so that a
-#: connection that was cut silently is noticed within the platform's bound.
+#: Seconds that one call waits for a change: short, so that a silently broken
+#: connection is detected within the platform's bound.
 _WAIT_S = 1.0
-#: Between tries while the store does not answer, in seconds.
+#: Seconds between attempts while the store does not answer.
 _RETRY_S = 0.25
-#: Between looks at cordons while a configuration is read, in seconds.
-_LOOK_S = 0.4
-#: What is asked for of the log at once, in kB: one record, however large.
-_ONE_RECORD_KB = 1
-#: Records that are looked at one by one, from the log's end; more cost more
-#: calls than a list does bytes.
-_MOST_STEPS = 8
+#: Seconds between reads of the cordons while a configuration is read.
+_CORDON_POLL_S = 0.4
+#: Size limit of a read, in kB, that returns one record of any size.
+_SINGLE_RECORD_KB = 1
+#: Maximum number of records read one by one from the log's end; with more,
+#: one list is cheaper than the calls.
+_MAX_SINGLE_READS = 8
 
-Read = abc.Callable[[bytes], None]
-Cordoned = abc.Callable[[wire.CordonedZones], None]
+OnConfig = abc.Callable[[bytes], None]
+OnCordons = abc.Callable[[wire.CordonedZones], None]
 
 
 class ConfigMeter:
-    """Counts what is read of configurations; this one nothing."""
+    """Receives counts of configuration reads; the default ignores them."""
 
     def read(self, size: int, took_s: float) -> None:
         """Count a version that was read."""
@@ -38,82 +38,86 @@
         """Count records that were replaced before they were read."""
 
 
-class ConfigBringer:
-    """Another process that may bring configurations; this one is none."""
+class RemoteReader:
+    """Reads configurations for this process; the default is unavailable."""
 
     @property
-    def present(self) -> bool:
-        """Whether configurations are brought."""
+    def available(self) -> bool:
+        """Whether another process delivers configurations."""
         return False
 
-    def missed(self) -> None:
-        """Note that one was not brought in time."""
+    def timed_out(self) -> None:
+        """Handle a configuration that was not delivered in time."""
 
 
 class OperatorFollower:
-    """Reads the newest configuration and which zones are cordoned.
+    """Reads the newest configuration and the cordoned zones.
 
-    Cordons come before a configuration that was read with them: nothing may
-    be ordered by it in a zone that takes no new work. While a configuration
-    is read, the list of cordons is looked at beside it.
+    Cordons are reported before a configuration of the same read, so that no
+    task is ordered in a zone that takes no new work. While a large
+    configuration is read, the cordons are polled concurrently.
 
     :param store: the platform's store
-    :param read: takes the newest configuration's bytes; raises a
-        :exc:`platform.ConfigError` if they are none, which changes nothing
-    :param cordoned: takes the cordoned zones, numbered by the log's end
-    :param pace: how fast and how often configurations are read
-    :param bringer: reads them for this process while it is there
-    :param meter: counts what is read; none is nowhere
+    :param on_config: called with the bytes of the newest configuration; raises
+        :exc:`platform.ConfigError` if they are invalid, which is logged
+    :param on_cordons: called with the cordoned zones, with the log's end as
+        their version
+    :param pace: limits the rate and the frequency of reads
+    :param remote: reads configurations for this process while available;
+        defaults to an unavailable one
+    :param meter: counts reads; defaults to one that ignores them
     """
 
     def __init__(
         self,
         store: platform.StoreClient,
-        read: Read,
-        cordoned: Cordoned,
+        on_config: OnConfig,
+        on_cordons: OnCordons,
         pace: _config_pace.ConfigPace,
-        bringer: ConfigBringer | None = None,
+        remote: RemoteReader | None = None,
         meter: ConfigMeter | None = None,
     ) -> None:
         self._store = store
-        self._read = read
-        self._cordoned = cordoned
+        self._on_config = on_config
+        self._on_cordons = on_cordons
         self._pace = pace
-        self._bringer = bringer or ConfigBringer()
-        #: Set when a configuration is brought.
-        self._brought = anyio.Event()
-        #: Ends a read that is in vain, and up to where the log is read.
-        self._reading: anyio.CancelScope | None = None
-        self._reading_end = 0
+        self._remote = remote or RemoteReader()
+        #: Set when a configuration is delivered.
+        self._delivered = anyio.Event()
+        #: Cancels the current read, which covers the log up to the offset.
+        self._read_scope: anyio.CancelScope | None = None
+        self._read_end = 0
         self._meter = meter or ConfigMeter()
         self._log = _operator_log.OperatorLog()
-        self._up = True
-        #: Set while a configuration is read, or the next one is put off.
+        self._store_up = True
+        #: Set while a slow read, or the pause after it, delays the log.
         self._busy = anyio.Event()
-        #: When the last answer with a configuration began, and its bytes.
-        self._began_at = float("-inf")
+        #: Start and size of the last response to a read.
+        self._read_began_at = float("-inf")
         self._size = 0
 
     @property
     def log_end(self) -> int:
-        """Up to where the log holds no newer configuration."""
+        """Offset before which the log holds no newer configuration."""
         return self._log.next_offset
 
-    def bring(self, log_end: int, size: int) -> None:
-        """Take in that a configuration was brought.
+    def on_delivered(self, log_end: int, size: int) -> None:
+        """Handle a configuration that was delivered and is now in force.
 
-        :param log_end: up to where the log holds no newer one
-        :param size: its bytes
+        It may come from the remote reader or from this follower.
+
+        :param log_end: offset before which the log holds no newer one
+        :param size: bytes of the configuration
         """
         self._log.skip_to(log_end)
         self._size = size
-        self._brought.set()
-        self._brought = anyio.Event()
-        if self._reading is not None and log_end >= self._reading_end:
-            self._reading.cancel()
+        self._delivered.set()
+        self._delivered = anyio.Event()
+        if self._read_scope is not None and log_end >= self._read_end:
+            self._read_scope.cancel()
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the log until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._watch_cordons)
             while True:
@@ -122,90 +126,92 @@
                 except platform.RecordsGoneError:
                     continue
                 except platform.StoreError as exc:
-                    self._rest()
-                    self._note(False, str(exc))
+                    self._mark_idle()
+                    self._log_store_state(False, str(exc))
                     await anyio.sleep(_RETRY_S)
 
     async def _follow(self) -> None:
         while True:
             behind = await self._catch_up()
-            self._note(True)
+            self._log_store_state(True)
             if not behind:
-                self._rest()
-            if not behind and self._bringer.present:
-                await anyio.sleep(self._pace.look_every_s())
+                self._mark_idle()
+            if not behind and self._remote.available:
+                await anyio.sleep(self._pace.poll_interval_s())
                 continue
             if not behind:
-                while await self._is_quiet():
-                    self._note(True)
-            # The link is left to what runs until the next one is due.
-            due_at = self._began_at + self._pace.next_after_s(self._size)
+                while await self._is_unchanged():
+                    self._log_store_state(True)
+            # Leave the link to other traffic until the next read is due.
+            due_at = self._read_began_at + self._pace.read_interval_s(
+                self._size
+            )
             await anyio.sleep_until(due_at)
 
-    def _rest(self) -> None:
-        """Note that no configuration holds up the log."""
-        # Whoever waits for it to be set waits for this very event.
+    def _mark_idle(self) -> None:
+        """Note that no configuration read delays the log."""
+        # An event that is not set may have a waiter and must be kept.
         if self._busy.is_set():
             self._busy = anyio.Event()
 
-    async def _is_quiet(self) -> bool:
-        """Wait for a change, and read it if it is the only one.
+    async def _is_unchanged(self) -> bool:
+        """Wait for a change and read one record of it.
 
-        :return: whether there was none
+        :return: whether there was no change
         """
         page = await self._store.read(
             platform.CONFIG_TOPIC,
             self._log.next_offset,
             _WAIT_S,
-            _ONE_RECORD_KB,
-            self._begin,
+            _SINGLE_RECORD_KB,
+            self._start_read,
         )
-        self._take(page)
+        self._process(page)
         return page.end <= self._log.next_offset and not page.records
 
     async def _catch_up(self) -> bool:
-        """Read the newest configuration if there may be a newer one.
+        """Read the newest configuration if the log may hold a new one.
 
-        :return: whether there may have been one
+        :return: whether it might have held one
         """
-        others = await self._look()
-        if self._log.unknown(others) and self._bringer.present:
-            await self._wait_for(others.end)
-        unknown = self._log.unknown(others)
-        if unknown:
-            self._meter.replaced(unknown - 1)
-            self._reading_end = others.end
-            with anyio.CancelScope() as self._reading:
-                await self._read_last(others.end)
-            self._reading = None
+        others = await self._read_cordons()
+        if self._log.count_unseen(others) and self._remote.available:
+            await self._wait_for_delivery(others.end)
+        unseen = self._log.count_unseen(others)
+        if unseen:
+            self._meter.replaced(unseen - 1)
+            self._read_end = others.end
+            with anyio.CancelScope() as self._read_scope:
+                await self._read_newest(others.end)
+            self._read_scope = None
         self._log.skip_to(others.end)
-        return unknown > 0
+        return unseen > 0
 
-    async def _wait_for(self, end: int) -> None:
-        """Wait until a configuration is brought, as long as time allows."""
-        wait_s = self._pace.bring_s() - self._pace.look_every_s()
+    async def _wait_for_delivery(self, end: int) -> None:
+        """Wait until a configuration is delivered or the timeout expires."""
+        wait_s = self._pace.delivery_timeout_s() - self._pace.poll_interval_s()
         with anyio.move_on_after(wait_s):
             while self._log.next_offset < end:
-                await self._brought.wait()
+                await self._delivered.wait()
             return
-        self._bringer.missed()
+        self._remote.timed_out()
 
-    async def _look(self) -> platform.KeyedPage:
-        """Read what stands under all other keys: they are small."""
+    async def _read_cordons(self) -> platform.KeyedPage:
+        """Read the records of all other keys, which are small."""
         page = await self._store.newest(
             platform.CONFIG_TOPIC, after=platform.CONFIG_KEY
         )
-        if self._log.list_others(page):
-            self._cordoned(self._log.cordons)
+        if self._log.apply_others(page):
+            self._on_cordons(self._log.cordons)
         return page
 
-    async def _read_last(self, end: int) -> None:
-        """Read the log's last configuration, or the newest of all keys.
+    async def _read_newest(self, end: int) -> None:
+        """Read the newest configuration by record, or else list all keys.
 
-        Most changes are of the configuration; as a record it takes a quarter
-        less than in a list. Other records are small.
+        The last records are tried first: one of them is usually the
+        configuration, and a record takes fewer bytes than a list.
         """
-        first = max(self._log.next_offset, end - _MOST_STEPS)
+        first = max(self._log.next_offset, end - _MAX_SINGLE_READS)
         with contextlib.suppress(platform.RecordsGoneError):
             for offset in range(end - 1, first - 1, -1):
                 if await self._read_at(offset):
@@ -213,69 +219,71 @@
             if first == self._log.next_offset:
                 return
         page = await self._store.newest(
-            platform.CONFIG_TOPIC, rate=self._begin
+            platform.CONFIG_TOPIC, rate=self._start_read
         )
-        if self._log.list_all(page):
-            self._cordoned(self._log.cordons)
-        self._hand_on(page)
+        if self._log.apply_all(page):
+            self._on_cordons(self._log.cordons)
+        self._apply_config(page)
 
     async def _read_at(self, offset: int) -> bool:
         """Read one record.
 
-        :return: whether it is a configuration
+        :return: whether it is a valid configuration
         """
         page = await self._store.read(
             platform.CONFIG_TOPIC,
             offset,
             0.0,
-            _ONE_RECORD_KB,
-            self._begin,
+            _SINGLE_RECORD_KB,
+            self._start_read,
         )
-        return self._take(page)
+        return self._process(page)
 
-    def _take(self, page: platform.KeyedPage) -> bool:
-        """Hand on what records tell.
+    def _process(self, page: platform.KeyedPage) -> bool:
+        """Report the cordons and the configuration in a page.
 
-        :return: whether they hold a configuration that can be read
+        :return: whether the page holds a valid configuration
         """
-        if self._log.read(page):
-            self._cordoned(self._log.cordons)
-        return self._hand_on(page)
+        if self._log.apply_page(page):
+            self._on_cordons(self._log.cordons)
+        return self._apply_config(page)
 
-    def _hand_on(self, page: platform.KeyedPage) -> bool:
+    def _apply_config(self, page: platform.KeyedPage) -> bool:
         data = _operator_log.newest_config(page.records)
         if data is None:
             return False
-        self._meter.read(len(data), anyio.current_time() - self._began_at)
+        self._meter.read(len(data), anyio.current_time() - self._read_began_at)
         try:
-            self._read(data)
+            self._on_config(data)
         except platform.ConfigError as exc:
             loguru.logger.error("{}", exc, step="config")
             return False
         return True
 
-    def _begin(self, size: int) -> float:
-        """Return how fast an answer is read that begins now."""
-        self._began_at = anyio.current_time()
+    def _start_read(self, size: int) -> float:
+        """Note the start of a response and return the rate to read it at."""
+        self._read_began_at = anyio.current_time()
         self._size = size
-        if self._pace.read_s(size) > _LOOK_S:
+        if self._pace.read_s(size) > _CORDON_POLL_S:
             self._busy.set()
         return self._pace.rate(size)
 
     async def _watch_cordons(self) -> None:
-        """Look at cordons while a configuration holds up the log."""
+        """Poll the cordons while a configuration read delays the log."""
         while True:
             await self._busy.wait()
-            await anyio.sleep(_LOOK_S)
+            await anyio.sleep(_CORDON_POLL_S)
             with contextlib.suppress(platform.StoreError):
-                await self._look()
+                await self._read_cordons()
 
-    def _note(self, up: bool, detail: str = "") -> None:
-        """Log when the store is lost or regained."""
-        if up == self._up:
+    def _log_store_state(self, up: bool, detail: str = "") -> None:
+        """Log when the store becomes unavailable or available again."""
+        if up == self._store_up:
             return
-        self._up = up
+        self._store_up = up
         if up:
-            loguru.logger.info("store regained", step="config")
+            loguru.logger.info("store available again", step="config")
         else:
-            loguru.logger.warning("store lost: {}", detail, step="config")
+            loguru.logger.warning(
+                "store unavailable: {}", detail, step="config"
+            )
--- a/src/ferryledge/hosted/_config_metrics.py
+++ b/src/ferryledge/hosted/_config_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of what reading configurations takes."""
+"""Metrics of configuration reads."""
 
 import loguru
 
@@ -7,9 +7,9 @@
 
 
 class ConfigMetrics(_config.ConfigMeter):
-    """What reading configurations takes.
+    """Counts configuration reads in a process's metrics.
 
-    :param registry: where the figures are served from
+    :param registry: serves the metrics
     """
 
     def __init__(self, registry: _metrics.Registry) -> None:
@@ -40,5 +40,7 @@
             return
         self._replaced.add(count)
         loguru.logger.info(
-            "{} records passed over: they are replaced", count, step="config"
+            "skipped {} records that newer ones replaced",
+            count,
+            step="config",
         )
--- a/src/ferryledge/hosted/_config_reader.py
+++ b/src/ferryledge/hosted/_config_reader.py
@@ -1,7 +1,7 @@
-"""Reads configurations for entries whose links are narrow.
+"""Reads configurations for entries with narrow links.
 
-The store gives a configuration only whole; what an entry is sent is the
-difference to the one that it has.
+The store returns only whole configurations. An agent reads them and sends
+each entry the difference to the configuration that the entry already has.
 """
 
 from collections import abc
@@ -15,16 +15,16 @@
 from ferryledge import platform
 from ferryledge import wire
 
-#: The link, in bytes a second, that reading for others counts on at the most.
-#: A large configuration then takes less than 0.1 s, so that entries need not
-#: read it too, and not all of a wide link.
-_MOST_LINK = 5_000_000.0
+#: Upper limit of the link's assumed bandwidth, in bytes per second. It is high
+#: enough that a read completes well before entries would read by themselves,
+#: and keeps reads from using all of a wide link.
+_MAX_LINK_BYTES_PER_S = 5_000_000.0
 
 Send = abc.Callable[[str, wire.Message], None]
 
 
 class ConfigReader:
-    """Follows the operators' log while some entry wants it.
+    """Follows the operators' log while any entry requests configurations.
 
     :param store: the platform's store
     :param settings: checked settings
@@ -38,74 +38,76 @@
         send: Send,
     ) -> None:
         self._store = store
-        link = min(_MOST_LINK, settings.link_bytes_per_s)
-        self._pace = _config_pace.ConfigPace(settings.config_apply_s, link)
+        bandwidth = min(_MAX_LINK_BYTES_PER_S, settings.link_bytes_per_s)
+        self._pace = _config_pace.ConfigPace(
+            settings.config_apply_s, bandwidth
+        )
         self._send = send
         self._exchange = leases.ConfigExchange()
-        #: What each entry has, by its digest.
+        #: Digest of the configuration that each entry has.
         self._entries: dict[str, bytes] = {}
-        self._wanted = anyio.Event()
+        self._requested = anyio.Event()
         self._scope: anyio.CancelScope | None = None
         self._follower = self._new_follower()
 
     def _new_follower(self) -> _config.OperatorFollower:
         return _config.OperatorFollower(
-            self._store, self._read, self._cordoned, self._pace
+            self._store, self._on_config, self._on_cordons, self._pace
         )
 
     @property
     def entries(self) -> int:
-        """How many entries it reads for."""
+        """Number of entries that configurations are read for."""
         return len(self._entries)
 
-    def take(self, event: wire.StreamEvent) -> bool:
-        """Take in what concerns configurations.
+    def handle(self, event: wire.StreamEvent) -> bool:
+        """Handle requests for configurations and changes of streams.
 
-        :return: whether that was all of the event
+        :return: whether the event needs no further handling
         """
         match event:
             case wire.Received(peer, wire.ConfigRequest(digest)):
-                self._follow(peer, digest)
+                self._subscribe(peer, digest)
                 return True
             case wire.PeerDown(peer):
-                self._forget(peer)
+                self._unsubscribe(peer)
             case wire.PeerUp(hello):
-                # It asks anew on a new stream.
-                self._forget(hello.name)
+                # An entry repeats its request on a new stream.
+                self._unsubscribe(hello.name)
         return False
 
-    def _follow(self, peer: str, digest: bytes) -> None:
+    def _subscribe(self, peer: str, digest: bytes) -> None:
         if peer not in self._entries:
             loguru.logger.info(
-                "configurations read for an entry", step="config", peer=peer
+                "reading configurations for an entry", step="config", peer=peer
             )
         self._entries[peer] = digest
-        self._wanted.set()
-        self._tell(peer)
+        self._requested.set()
+        self._send_current(peer)
 
-    def _forget(self, peer: str) -> None:
+    def _unsubscribe(self, peer: str) -> None:
         self._entries.pop(peer, None)
         if not self._entries and self._scope is not None:
             self._scope.cancel()
 
     async def run(self) -> None:
-        """Follow the log whenever some entry wants it, for ever."""
+        """Follow the log until cancelled, whenever an entry requests it."""
         while True:
             while not self._entries:
-                self._wanted = anyio.Event()
-                await self._wanted.wait()
+                self._requested = anyio.Event()
+                await self._requested.wait()
             self._follower = self._new_follower()
             with anyio.CancelScope() as self._scope:
                 await self._follower.run()
 
-    def _read(self, data: bytes) -> None:
+    def _on_config(self, data: bytes) -> None:
         version = platform.config_version(data)
         log_end = self._follower.log_end
         if self._exchange.learn(version, data, log_end):
             for peer in self._entries:
-                self._tell(peer)
+                self._send_current(peer)
 
-    def _tell(self, peer: str) -> None:
+    def _send_current(self, peer: str) -> None:
         digest = self._exchange.digest
         if not digest or self._entries[peer] == digest:
             return
@@ -121,6 +123,6 @@
             peer=peer,
         )
 
-    def _cordoned(self, state: wire.CordonedZones) -> None:
+    def _on_cordons(self, cordons: wire.CordonedZones) -> None:
         for peer in self._entries:
-            self._send(peer, state)
+            self._send(peer, cordons)
--- a/src/ferryledge/hosted/_memory.py
+++ b/src/ferryledge/hosted/_endpoint_record.py
@@ -1,7 +1,7 @@
-"""What an agent keeps in the store of the endpoint beside it.
+"""Saves an endpoint's last heartbeat in the store.
 
-An endpoint reports seldom. An agent that starts again would have to wait
-for the next heartbeat to know the room there, although nothing changed.
+Endpoints send heartbeats rarely. An agent that restarts loads the saved one,
+so that it knows the endpoint's capacity before the next heartbeat arrives.
 """
 
 import zlib
@@ -14,19 +14,20 @@
 from ferryledge import leases
 from ferryledge import platform
 
-#: The system's own topic: one record an agent, under the agent's name.
+#: Topic with one record per agent, keyed by the agent's name.
 ENDPOINTS_TOPIC = "keyed.ferryledge-endpoints"
 
 
-class EndpointMemory:
+class EndpointRecord:
     """Reads and writes one agent's record.
 
-    The agents are spread over the topic's partitions, so that a start of
-    all of them reads each record a few times and not once an agent.
+    The records are spread over the topic's partitions by the agent's name.
+    An agent reads a whole partition, so this limits how many records are
+    read when all agents start at once.
 
     :param store: the platform's store
-    :param name: the agent
-    :param partitions: how many the topic has
+    :param name: the agent's name
+    :param partitions: number of partitions of the topic
     """
 
     def __init__(
@@ -35,12 +36,12 @@
         self._store = store
         self._name = name
         self._partition = zlib.crc32(name.encode()) % max(1, partitions)
-        self._wanted: leases.EndpointHeartbeat | None = None
+        self._pending: leases.EndpointHeartbeat | None = None
         self._changed = anyio.Event()
 
-    async def recall(self) -> leases.EndpointHeartbeat | None:
-        """Return what an earlier start kept; none if nothing was."""
-        page = await _members.until_answered(
+    async def load(self) -> leases.EndpointHeartbeat | None:
+        """Return the heartbeat that was saved last, or none."""
+        page = await _members.retry_until_answered(
             lambda: self._store.newest(ENDPOINTS_TOPIC, self._partition)
         )
         for record in page.records:
@@ -48,24 +49,26 @@
                 return _decode(record)
         return None
 
-    def remember(self, seen: leases.EndpointHeartbeat) -> None:
-        """Keep this as soon as the store takes it; the last one counts."""
-        self._wanted = seen
+    def save(self, heartbeat: leases.EndpointHeartbeat) -> None:
+        """Schedule a heartbeat to be written, replacing any pending one."""
+        self._pending = heartbeat
         self._changed.set()
 
     async def run(self) -> None:
-        """Write what is to be kept, for ever."""
+        """Write pending heartbeats until cancelled."""
         while True:
             await self._changed.wait()
             self._changed = anyio.Event()
-            seen = self._wanted
+            heartbeat = self._pending
             record = platform.KeyedRecord(
-                self._name, msgspec.json.encode(seen)
+                self._name, msgspec.json.encode(heartbeat)
             )
             try:
                 await self._store.put(ENDPOINTS_TOPIC, record, self._partition)
             except platform.StoreError as exc:
-                loguru.logger.debug("not kept: {}", exc, step="join")
+                loguru.logger.debug(
+                    "endpoint record not saved: {}", exc, step="join"
+                )
                 self._changed.set()
                 await anyio.sleep(_members.RETRY_S)
 
@@ -74,5 +77,5 @@
     try:
         return msgspec.json.decode(record.value, type=leases.EndpointHeartbeat)
     except msgspec.DecodeError as exc:
-        loguru.logger.warning("bad record: {}", exc, peer=record.key)
+        loguru.logger.warning("invalid record: {}", exc, peer=record.key)
         return None
--- a/src/ferryledge/hosted/_entry.py
+++ b/src/ferryledge/hosted/_entry.py
@@ -1,4 +1,8 @@
-"""The entry's shell on the platform: clients, streams, the store."""
+"""Runs an entry on the platform.
+
+Connects the entry's core, :class:`ferryledge.leases.LeaseEntry`, to clients
+over HTTP, to other processes over streams, and to the store.
+"""
 
 import itertools
 import random
@@ -22,22 +26,23 @@
 from ferryledge import wire
 
 _DRAIN_POLL_S = 0.02
-#: Seconds after SIGTERM in which new connections may still come: the
-#: platform's balancer looks once a second and needs two looks.
-_LINGER_S = 2.5
-#: Seconds before the platform's kill at which this process ends.
+#: Seconds after SIGTERM in which new connections may still arrive: the
+#: platform's load balancer checks readiness once a second and stops sending
+#: after two failed checks.
+_CONNECTION_LINGER_S = 2.5
+#: Seconds before the platform's SIGKILL at which this process ends.
 _KILL_MARGIN_S = 0.6
-#: Seconds that answers get to leave.
+#: Seconds at the end for sending pending answers.
 _FLUSH_S = 0.1
-#: How long a request waits for the first configuration, in seconds: most
-#: starts have it sooner, and a later refusal would be priced as late.
+#: Seconds that a request waits for the first configuration before it is
+#: refused; a later refusal would count as late.
 _CONFIG_WAIT_S = 0.6
-#: What a refused client is told to wait, in seconds.
+#: Seconds after which a refused client may retry.
 _RETRY_S = 1.0
 
 
-class _Pending:
-    """A client's request that waits for its answer."""
+class _PendingRequest:
+    """A client's request that waits for its job's outcome."""
 
     def __init__(self) -> None:
         self.ready = anyio.Event()
@@ -49,15 +54,15 @@
 
     :param settings: checked settings
     :param keys: the accepted shared keys for streams
-    :param hands_on: whether jobs are handed on between entries
-    :param listeners: the sockets that listen already; none is no socket
+    :param handovers: whether entries hand jobs over to each other
+    :param listeners: sockets that are already open; defaults to none
     """
 
     def __init__(
         self,
         settings: platform.Settings,
         keys: tuple[str, ...],
-        hands_on: bool = True,
+        handovers: bool = True,
         listeners: _listening.Listeners | None = None,
     ) -> None:
         self._settings = settings
@@ -74,11 +79,11 @@
             remote_factor=settings.bounds.far_x,
             meter=_metrics.EntryMetrics(self._registry),
             link_bytes_per_s=settings.link_bytes_per_s,
-            rules=leases.EntryRules(hands_on=hands_on),
+            rules=leases.EntryRules(hands_on=handovers),
         )
         self._log = logs.DecisionLog()
         self._driver = net.Driver(
-            self._core, self._perform, self._ticked, self._core.tick_by
+            self._core, self._perform, self._write_notes, self._core.tick_by
         )
         self._mesh = net.Mesh(keys, self._core.hello, self._driver.post)
         self._dialler = _members.Dialler(self._mesh, settings.node)
@@ -95,20 +100,25 @@
         )
         self._group: anyio_abc.TaskGroup | None = None
         self._tokens = itertools.count(1)
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingRequest] = {}
+        #: Whether new connections are directed to other entries.
         self._draining = False
+        #: Whether new jobs are refused.
         self._refusing = False
 
     def unfinished(self) -> str:
-        """Return what is in flight, for the log."""
+        """Describe the unfinished work, for the log."""
         return f"{self._core.open_jobs} jobs of clients"
 
     def reload(self) -> None:
-        """Take over changed settings; wrong ones change nothing."""
+        """Reload the settings; invalid ones change nothing."""
         self._settings = _reload.reload_settings(self._settings, self._store)
 
     async def run(self, drain: anyio.Event) -> None:
-        """Serve until the event is set and the jobs are answered."""
+        """Serve until the event is set, then answer open jobs and return.
+
+        :param drain: set when the process is to stop
+        """
         settings = self._settings
         stop = anyio.Event()
         release = anyio.Event()
@@ -117,9 +127,9 @@
         )
         async with anyio.create_task_group() as group:
             self._group = group
-            streams = settings.stream_host, settings.stream_port
-            listener = self._listeners.take(streams)
-            await group.start(self._mesh.listen, *streams, listener)
+            stream_address = settings.stream_host, settings.stream_port
+            listener = self._listeners.take(stream_address)
+            await group.start(self._mesh.listen, *stream_address, listener)
             group.start_soon(self._driver.run)
             self._driver.post(leases.EntriesFound((own,)))
             addresses = settings.listen_addrs
@@ -127,7 +137,9 @@
             await self._serve(group, addresses.frontend, stop, release)
             self._add_gauges()
             group.start_soon(self._registry.serve, settings.stream_host)
-            hosts = [platform.split_address(one)[0] for one in settings.seeds]
+            hosts = [
+                platform.split_address(seed)[0] for seed in settings.seeds
+            ]
             hosts = [host for host in hosts if host != settings.ip]
             self._dialler.dial_seeds(group, hosts, settings.stream_port)
             group.start_soon(_members.register, self._store, own)
@@ -141,7 +153,7 @@
                 _first_answer.run,
                 self._config.run,
                 lambda: _first_answer.probe(settings.store.address),
-                self._config.arrived,
+                self._config.loaded,
             )
             loguru.logger.info("entry ready", step="join")
             await drain.wait()
@@ -163,18 +175,18 @@
         )
 
     async def _finish(self, release: anyio.Event) -> None:
-        """Answer what is in flight and what ends in time; then end.
+        """Answer the jobs that end within the grace period, then stop.
 
-        :param release: closes connections that clients keep open unused
+        :param release: set to close idle keep-alive connections
         """
         self._draining = True
         grace_s = self._settings.bounds.grace_s - _KILL_MARGIN_S
         until = self._driver.now() + grace_s
         self._driver.post(leases.EntryDrain(until))
         with anyio.move_on_after(grace_s):
-            await anyio.sleep(_LINGER_S)
+            await anyio.sleep(_CONNECTION_LINGER_S)
             release.set()
-            # Jobs of other entries are among the open ones.
+            # Incoming handovers of other entries count as open jobs, too.
             while self._pending or self._core.open_jobs:
                 await anyio.sleep(_DRAIN_POLL_S)
         self._refusing = True
@@ -207,7 +219,7 @@
             lambda: core.peers.version,
         )
 
-    def _ticked(self) -> None:
+    def _write_notes(self) -> None:
         self._log.write(self._driver.now(), self._core.pop_notes())
 
     def _perform(self, action: leases.EntryAction) -> None:
@@ -229,7 +241,7 @@
 
     def _dial(self, entries: tuple[wire.EntryAddress, ...]) -> None:
         assert self._group is not None
-        if any(one.name != self._settings.node for one in entries):
+        if any(entry.name != self._settings.node for entry in entries):
             self._dialler.forget_seeds()
         self._dialler.dial(self._group, entries)
 
@@ -242,7 +254,7 @@
         if request.path == "/ready" and request.method == "GET":
             return self._readiness()
         with anyio.move_on_after(_CONFIG_WAIT_S):
-            await self._config.arrived.wait()
+            await self._config.loaded.wait()
         config = self._config.current
         if config is None:
             reason = outcomes.Reason.NO_CONFIGURATION
@@ -301,32 +313,36 @@
         except platform.UnsupportedJobError as exc:
             loguru.logger.warning("{}", exc, step="submit", job=name)
             return platform.refusal(outcomes.Reason.IMPOSSIBLE, 0.0, str(exc))
-        outcome = await self._answer(request, job)
+        outcome = await self._run_job(request, job)
         response = platform.render_outcome(outcome)
         if self._draining or not self._core.is_usable(self._driver.now()):
-            # The client's next request should reach another entry.
+            # Closing lets the client's next request reach another entry.
             response = response.closing()
         return response
 
-    async def _answer(
+    async def _run_job(
         self, request: net.Request, job: leases.LeasedJob
     ) -> outcomes.JobOutcome:
         token = next(self._tokens)
-        pending = self._pending[token] = _Pending()
+        pending = self._pending[token] = _PendingRequest()
         try:
             self._driver.post(leases.JobSubmitted(token, job))
-            await self._wait(request, job.job, token, pending)
+            await self._wait_for_outcome(request, job.job, token, pending)
         finally:
             del self._pending[token]
         assert pending.outcome is not None
         return pending.outcome
 
-    async def _wait(
-        self, request: net.Request, name: str, token: int, pending: _Pending
+    async def _wait_for_outcome(
+        self,
+        request: net.Request,
+        name: str,
+        token: int,
+        pending: _PendingRequest,
     ) -> None:
-        """Wait for the answer; a client that hangs up leaves its job."""
+        """Wait for the job's outcome or for the client to disconnect."""
 
-        async def watch() -> None:
+        async def watch_connection() -> None:
             await request.disconnected()
             self._driver.post(leases.ClientLeft(token, name))
             origin = outcomes.Origin(outcomes.Step.CANCEL)
@@ -335,6 +351,6 @@
             pending.ready.set()
 
         async with anyio.create_task_group() as group:
-            group.start_soon(watch)
+            group.start_soon(watch_connection)
             await pending.ready.wait()
             group.cancel_scope.cancel()
--- a/src/ferryledge/hosted/_entry_config.py
+++ b/src/ferryledge/hosted/_entry_config.py
@@ -1,4 +1,8 @@
-"""The configuration that an entry goes by, and where it comes from."""
+"""Keeps an entry's configuration up to date.
+
+Configurations come from the store, or from an agent that reads them for this
+entry. A configuration that was read takes effect when the core applies it.
+"""
 
 from collections import abc
 
@@ -16,11 +20,11 @@
 Post = abc.Callable[[leases.EntryEvent], None]
 
 
-class _Bringer(_config.ConfigBringer):
+class _AgentReader(_config.RemoteReader):
     """The agent that reads configurations for this entry.
 
-    :param core: knows which one that is
-    :param post: hands an event to it
+    :param core: the entry's core, which chooses the agent
+    :param post: posts an event to the core
     """
 
     def __init__(self, core: leases.LeaseEntry, post: Post) -> None:
@@ -28,14 +32,14 @@
         self._post = post
 
     @property
-    def present(self) -> bool:
-        """Whether some agent reads for this entry."""
+    def available(self) -> bool:
+        """Whether an agent reads configurations for this entry."""
         return bool(self._core.peers.config_reader)
 
-    def missed(self) -> None:
-        """Let another agent read from now on."""
+    def timed_out(self) -> None:
+        """Replace the agent by another one."""
         loguru.logger.warning(
-            "configuration not brought",
+            "configuration not delivered in time",
             step="config",
             peer=self._core.peers.config_reader,
         )
@@ -43,13 +47,13 @@
 
 
 class EntryConfig:
-    """Reads configurations, hands them to the core, applies them.
+    """Reads configurations, posts them to the core and applies them.
 
     :param settings: checked settings
     :param store: the platform's store
-    :param core: decides which configuration counts
-    :param post: hands an event to it
-    :param registry: where figures are served from
+    :param core: the entry's core, which decides which configuration applies
+    :param post: posts an event to the core
+    :param registry: serves the metrics
     """
 
     def __init__(
@@ -66,16 +70,16 @@
         )
         self._follower = _config.OperatorFollower(
             store,
-            self._read,
-            self._cordoned,
+            self._on_config,
+            self._on_cordons,
             pace,
-            _Bringer(core, post),
+            _AgentReader(core, post),
             _config_metrics.ConfigMetrics(registry),
         )
         self._current: platform.Configuration | None = None
-        #: The one that was read last; in force once the core says so.
+        #: Read last; takes effect when the core applies it.
         self._parsed: platform.Configuration | None = None
-        self._arrived = anyio.Event()
+        self._loaded = anyio.Event()
 
     @property
     def current(self) -> platform.Configuration | None:
@@ -83,35 +87,35 @@
         return self._current
 
     @property
-    def arrived(self) -> anyio.Event:
-        """Set once one is in force."""
-        return self._arrived
+    def loaded(self) -> anyio.Event:
+        """Set once the first configuration is in force."""
+        return self._loaded
 
     async def run(self) -> None:
-        """Follow the store for ever."""
+        """Follow the store until cancelled."""
         await self._follower.run()
 
     def apply(self, action: leases.ApplyConfig) -> None:
-        """Let requests go by a configuration from now on."""
-        self._follower.bring(action.log_end, len(action.data))
+        """Put a configuration in force; an invalid one is only logged."""
+        self._follower.on_delivered(action.log_end, len(action.data))
         config = self._parsed
         if config is None or config.version != action.version:
-            # Another process sent it, which has read it.
+            # An agent read it and sent it to this entry.
             try:
                 config = platform.parse_config(action.data)
             except platform.ConfigError as exc:
                 loguru.logger.error("{}", exc, step="config")
                 return
         self._current = config
-        self._arrived.set()
+        self._loaded.set()
         loguru.logger.info(
             "configuration {} in force", action.version, step="config"
         )
 
-    def _read(self, data: bytes) -> None:
+    def _on_config(self, data: bytes) -> None:
         config = self._parsed = platform.parse_config(data)
         log_end = self._follower.log_end
         self._post(leases.ConfigRead(config.version, data, log_end))
 
-    def _cordoned(self, cordons: wire.CordonedZones) -> None:
+    def _on_cordons(self, cordons: wire.CordonedZones) -> None:
         self._post(leases.CordonsRead(cordons))
--- a/src/ferryledge/hosted/_members.py
+++ b/src/ferryledge/hosted/_members.py
@@ -1,4 +1,8 @@
-"""How processes find the entries: the store, seeds and each other."""
+"""Discovers entries through the store and connects to them.
+
+Each entry registers its address in a topic of the store. Until an entry is
+found there, processes connect to configured seed hosts.
+"""
 
 from collections import abc
 import contextlib
@@ -15,28 +19,28 @@
 from ferryledge import platform
 from ferryledge import wire
 
-#: The system's own topic: one record an entry, under the entry's name.
+#: Topic with one record per entry, keyed by the entry's name.
 MEMBERS_TOPIC = "keyed.ferryledge-entries"
-#: Between tries while the store does not answer, in seconds.
+#: Seconds between attempts while the store does not answer.
 RETRY_S = 0.5
-#: How long one call waits for news, in seconds.
+#: Seconds that one call waits for new records.
 _WAIT_S = 10.0
 _LAST_PORT = 65535
 
 AnswerT = typing.TypeVar("AnswerT")
-Found = abc.Callable[[tuple[wire.EntryAddress, ...]], None]
+OnEntries = abc.Callable[[tuple[wire.EntryAddress, ...]], None]
 
 
 async def register(
     store: platform.StoreClient, address: wire.EntryAddress
 ) -> None:
-    """Write an entry's address into the store, however long it takes."""
+    """Write an entry's address to the store; retry until it is accepted."""
     record = platform.KeyedRecord(address.name, msgspec.json.encode(address))
-    await until_answered(lambda: store.put(MEMBERS_TOPIC, record))
+    await retry_until_answered(lambda: store.put(MEMBERS_TOPIC, record))
     loguru.logger.info("registered in the store", step="join")
 
 
-async def until_answered(
+async def retry_until_answered(
     call: abc.Callable[[], abc.Awaitable[AnswerT]],
 ) -> AnswerT:
     """Repeat a call until the store answers it."""
@@ -44,51 +48,51 @@
         try:
             return await call()
         except platform.StoreError as exc:
-            loguru.logger.debug("no answer: {}", exc, step="join")
+            loguru.logger.debug("store did not answer: {}", exc, step="join")
             await anyio.sleep(RETRY_S)
 
 
 def _decode(
     records: abc.Iterable[platform.KeyedRecord],
 ) -> tuple[wire.EntryAddress, ...]:
-    found = []
+    entries = []
     for record in records:
         if not record.value:
             continue
         try:
-            found.append(_decode_one(record))
+            entries.append(_decode_record(record))
         except ValueError as exc:
-            loguru.logger.warning("bad record: {}", exc, peer=record.key)
-    return tuple(found)
+            loguru.logger.warning("invalid record: {}", exc, peer=record.key)
+    return tuple(entries)
 
 
-def _decode_one(record: platform.KeyedRecord) -> wire.EntryAddress:
-    """Return the entry that a record names.
+def _decode_record(record: platform.KeyedRecord) -> wire.EntryAddress:
+    """Return the address in an entry's record.
 
-    :raises ValueError: if it names none, as another writer's may
+    :raises ValueError: if the record holds no valid address of its entry
     """
     address = msgspec.json.decode(record.value, type=wire.EntryAddress)
     ipaddress.ip_address(address.host)
     if address.name != record.key or not 0 < address.port <= _LAST_PORT:
-        raise ValueError("it names another entry, or no port")
+        raise ValueError("the name is not the key, or the port is invalid")
     return address
 
 
 async def _read_first(address: str) -> platform.KeyedPage:
-    """Return all entries' records as soon as the store answers at all."""
+    """Return all entries' records from the first answer of the store."""
     return await _first_answer.first_answer(
-        lambda: newest_apart(address, MEMBERS_TOPIC)
+        lambda: newest_over_own_connection(address, MEMBERS_TOPIC)
     )
 
 
-async def newest_apart(
+async def newest_over_own_connection(
     address: str, topic: str, partition: int = 0
 ) -> platform.KeyedPage:
-    """Return a topic's newest records, over connections of their own.
+    """Return a topic's newest records, read on a separate connection.
 
-    One that is silent then holds up no other call.
+    A connection that hangs then delays no other call.
 
-    :raises platform.StoreError: if the store did not answer with them
+    :raises platform.StoreError: if the store does not answer
     """
     store = platform.StoreClient(address)
     try:
@@ -97,43 +101,44 @@
         await store.close()
 
 
-async def read_once(address: str, found: Found) -> None:
-    """Read all entries' addresses, however long it takes."""
+async def read_once(address: str, on_entries: OnEntries) -> None:
+    """Read all entries' addresses once; retry until the store answers."""
     page = await _read_first(address)
-    found(_decode(page.records))
+    on_entries(_decode(page.records))
 
 
 async def follow(
-    store: platform.StoreClient, address: str, found: Found
+    store: platform.StoreClient, address: str, on_entries: OnEntries
 ) -> None:
-    """Report entries' addresses for ever, as they come.
+    """Report entries' addresses as they change, until cancelled.
 
     :param store: the platform's store
-    :param address: its ``host:port``
-    :param found: takes the addresses
+    :param address: ``host:port`` of the store
+    :param on_entries: called with the addresses of each answer
     """
     page = await _read_first(address)
-    found(_decode(page.records))
+    on_entries(_decode(page.records))
     offset = page.next_offset
     while True:
         with contextlib.suppress(platform.StoreError):
             while True:
                 page = await store.read(MEMBERS_TOPIC, offset, _WAIT_S)
-                found(_decode(page.records))
+                on_entries(_decode(page.records))
                 offset = page.next_offset
         await anyio.sleep(RETRY_S)
         with contextlib.suppress(platform.StoreError):
             page = await store.newest(MEMBERS_TOPIC)
-            found(_decode(page.records))
+            on_entries(_decode(page.records))
             offset = page.next_offset
 
 
 class Dialler:
-    """Keeps streams open to the entries that are known.
+    """Keeps streams open to the known entries.
 
-    :param name: this process; entries dial only names after their own, so
-        that two of them don't replace each other's streams
-    :param mesh: the streams
+    :param mesh: holds the streams
+    :param name: this entry's name, or empty in an agent; an entry dials only
+        names that sort after its own, so that two entries don't replace each
+        other's streams
     """
 
     def __init__(self, mesh: net.Mesh, name: str = "") -> None:
@@ -147,7 +152,7 @@
         group: anyio_abc.TaskGroup,
         entries: abc.Iterable[wire.EntryAddress],
     ) -> None:
-        """Dial new entries, and changed addresses anew."""
+        """Dial new entries and redial those whose address changed."""
         for entry in entries:
             if (
                 entry.name <= self._name
@@ -160,7 +165,7 @@
             address = net.PeerAddress(entry.name, entry.host, entry.port)
             group.start_soon(self._mesh.keep_dialling, address)
 
-    def leave(self, name: str) -> None:
+    def drop(self, name: str) -> None:
         """Stop dialling an entry and close the stream to it."""
         self._hosts.pop(name, None)
         self._mesh.forget(name)
@@ -172,7 +177,7 @@
         hosts: abc.Iterable[str],
         port: int,
     ) -> None:
-        """Dial hosts whose names are not known until entries are found."""
+        """Dial seed hosts, whose entry names are not known yet."""
         for host in hosts:
             seed = f"seed {host}"
             self._seeds.add(seed)
@@ -180,7 +185,7 @@
             group.start_soon(self._mesh.keep_dialling, address)
 
     def forget_seeds(self) -> None:
-        """Stop dialling seeds; the entries are known by name now."""
+        """Stop dialling seeds, since entries are known by name."""
         for seed in self._seeds:
             self._mesh.forget(seed)
         self._seeds.clear()
--- a/src/ferryledge/hosted/_operator_log.py
+++ b/src/ferryledge/hosted/_operator_log.py
@@ -1,8 +1,9 @@
-"""Which records of the operators' log are known, and which are to be read.
+"""Tracks which records of the operators' log were read.
 
-Load pattern: as in :mod:`ferryledge.hosted._config_pace`. A list of all keys
-behind the configuration's is small and tells of every cordon and of the
-log's end, so nothing that is replaced has to be read for that.
+The log holds configurations and cordons. Configurations may be large and
+replaced often, see :mod:`ferryledge.hosted._config_pace`. A list of the newest
+record of each key that sorts after the configuration's is small. It contains
+every cordon and the end of the log, so replaced records need not be read.
 """
 
 from collections import abc
@@ -12,64 +13,65 @@
 
 
 class OperatorLog:
-    """How far the log is known, and the cordons that it tells of."""
+    """Tracks the position in the log and the cordoned zones."""
 
     def __init__(self) -> None:
         self._zones: set[str] = set()
-        self._zones_at = 0
+        self._zones_end = 0
         self._next = 0
-        #: Cordons found to be ended since; no list has such a record.
-        self._ended = 0
+        #: Cordons that ended since the last known configuration. Their records
+        #: have empty values, which no list contains.
+        self._ended_cordons = 0
 
     @property
     def next_offset(self) -> int:
-        """The first offset that may hold a newer configuration."""
+        """First offset that may hold a newer configuration."""
         return self._next
 
     @property
     def cordons(self) -> wire.CordonedZones:
-        """The cordoned zones, numbered by how far the log was read."""
-        return wire.CordonedZones(self._zones_at, tuple(sorted(self._zones)))
+        """The cordoned zones, with the log offset as their version."""
+        return wire.CordonedZones(self._zones_end, tuple(sorted(self._zones)))
 
-    def list_others(self, page: platform.KeyedPage) -> bool:
-        """Take in the newest record of each key but the configuration's.
+    def apply_others(self, page: platform.KeyedPage) -> bool:
+        """Apply the newest record of each key except the configuration's.
 
-        :return: whether it tells more of cordons than what is known
+        :return: whether the cordoned zones were updated
         """
-        if page.end <= self._zones_at:
+        if page.end <= self._zones_end:
             return False
-        # Zones that are not listed have been taken back.
-        zones = set(_cordoned(page.records))
-        self._ended += len(self._zones - zones)
+        # Cordons that are not listed have ended.
+        zones = set(_cordoned_zones(page.records))
+        self._ended_cordons += len(self._zones - zones)
         self._zones = zones
-        self._zones_at = page.end
+        self._zones_end = page.end
         return True
 
-    def list_all(self, page: platform.KeyedPage) -> bool:
-        """Take in the newest record of each key.
+    def apply_all(self, page: platform.KeyedPage) -> bool:
+        """Apply the newest record of each key.
 
-        :return: whether it tells more of cordons than what is known
+        :return: whether the cordoned zones were updated
         """
         self.skip_to(page.end)
-        return self.list_others(page)
+        return self.apply_others(page)
 
-    def read(self, page: platform.KeyedPage) -> bool:
-        """Take in records as they stand in the log.
+    def apply_page(self, page: platform.KeyedPage) -> bool:
+        """Apply consecutive records of the log.
 
-        :return: whether they tell more of cordons than what is known
+        :return: whether the cordoned zones were updated
         """
         self.skip_to(page.next_offset)
-        # What lies before them may hold cordons too.
-        if page.first_offset > self._zones_at:
+        # Records between the known ones and these may hold cordons.
+        if page.first_offset > self._zones_end:
             return False
-        if page.next_offset <= self._zones_at:
+        if page.next_offset <= self._zones_end:
             return False
         for record in page.records:
-            self._read_one(record)
-        self._zones_at = page.next_offset
+            self._apply_record(record)
+        self._zones_end = page.next_offset
         return True
 
-    def _read_one(self, record: platform.KeyedRecord) -> None:
+    def _apply_record(self, record: platform.KeyedRecord) -> None:
         zone = platform.cordoned_zone(record.key)
         if zone is None:
             return
@@ -79,23 +81,23 @@
             self._zones.discard(zone)
 
     def skip_to(self, offset: int) -> None:
-        """Note that no newer configuration stands before an offset."""
+        """Record that no newer configuration precedes an offset."""
         if offset > self._next:
             self._next = offset
-            self._ended = 0
+            self._ended_cordons = 0
 
-    def unknown(self, page: platform.KeyedPage) -> int:
-        """Return how many new records a list of the other keys leaves out.
+    def count_unseen(self, page: platform.KeyedPage) -> int:
+        """Return the number of new records that a list does not account for.
 
-        One of them may be a configuration.
+        Any of them may be a configuration.
 
-        :param page: the newest record of each key but the configuration's
+        :param page: the newest record of each key except the configuration's
         """
         listed = sum(record.offset >= self._next for record in page.records)
-        return max(0, page.end - self._next - listed - self._ended)
+        return max(0, page.end - self._next - listed - self._ended_cordons)
 
 
-def _cordoned(
+def _cordoned_zones(
     records: abc.Iterable[platform.KeyedRecord],
 ) -> abc.Iterator[str]:
     for record in records:
@@ -108,8 +110,8 @@
     records: abc.Iterable[platform.KeyedRecord],
 ) -> bytes | None:
     """Return the last configuration among records, or none."""
-    found = None
+    config = None
     for record in records:
         if record.key == platform.CONFIG_KEY and record.value:
-            found = record.value
-    return found
+            config = record.value
+    return config
--- a/src/ferryledge/hosted/tests/slow_store.py
+++ b/src/ferryledge/hosted/tests/slow_store.py
@@ -1,4 +1,4 @@
-"""A log store for followers on a clock that jumps."""
+"""A simulated log store behind a link of limited bandwidth."""
 
 import dataclasses
 
@@ -9,15 +9,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Store:
-    """A log whose answers take the time that their bytes take."""
+    """A log whose answers take as long as the link needs for their bytes."""
 
-    #: What the reader's link carries.
+    #: Bandwidth of the reader's link.
     bytes_per_s: float
     log: list[tuple[str, bytes]] = dataclasses.field(default_factory=list)
     grown: anyio.Event = dataclasses.field(default_factory=anyio.Event)
-    #: Bytes of configurations that were carried.
-    carried: int = 0
-    #: Calls that get no answer.
+    #: Bytes of records that were sent.
+    sent_bytes: int = 0
+    #: Number of next calls that get no answer.
     lost: int = 0
 
     def put(self, key: str, value: bytes) -> None:
@@ -40,8 +40,8 @@
             if key > after
         }
         end = len(self.log)
-        records = tuple(one for one in kept.values() if one.value)
-        await self._carry(records, rate)
+        records = tuple(record for record in kept.values() if record.value)
+        await self._send(records, rate)
         return platform.KeyedPage(records, end, 0, end)
 
     async def read(
@@ -52,7 +52,7 @@
         most_kb: int = 1024,
         rate: platform.Rate | None = None,
     ) -> platform.KeyedPage:
-        """Return records from an offset on, once there is one."""
+        """Return records from an offset on; wait for the first of them."""
         with anyio.move_on_after(wait_s):
             while len(self.log) <= offset:
                 await self.grown.wait()
@@ -63,10 +63,10 @@
             for number, (key, value) in enumerate(self.log)
             if offset <= number < offset + most
         )
-        await self._carry(records, rate)
+        await self._send(records, rate)
         return platform.KeyedPage(records, offset + len(records), offset, end)
 
-    async def _carry(
+    async def _send(
         self,
         records: tuple[platform.KeyedRecord, ...],
         rate: platform.Rate | None,
@@ -75,9 +75,9 @@
             self.lost -= 1
             await anyio.sleep(1.5)
             raise platform.StoreError("no answer in time")
-        size = sum(len(one.value) for one in records)
+        size = sum(len(record.value) for record in records)
         speed = self.bytes_per_s
         if rate is not None:
             speed = min(speed, rate(size))
-        self.carried += size
+        self.sent_bytes += size
         await anyio.sleep(size / speed)
--- a/src/ferryledge/hosted/tests/test_config_reader.py
+++ b/src/ferryledge/hosted/tests/test_config_reader.py
@@ -1,4 +1,4 @@
-"""An agent reads configurations for entries with narrow links."""
+"""Tests configurations that an agent reads for entries with narrow links."""
 
 import math
 import typing
@@ -28,7 +28,7 @@
 
 
 class _Agent:
-    """A reader, its store and what it sent."""
+    """A reader, its store and the messages that it sent."""
 
     def __init__(self) -> None:
         self.store = slow_store.Store(math.inf)
@@ -41,11 +41,11 @@
 
     def join(self, name: str, digest: bytes = b"") -> None:
         request = wire.ConfigRequest(digest, follow=True)
-        self.reader.take(wire.PeerUp(_hello(name)))
-        assert self.reader.take(wire.Received(name, request))
+        self.reader.handle(wire.PeerUp(_hello(name)))
+        assert self.reader.handle(wire.Received(name, request))
 
     def leave(self, name: str) -> None:
-        assert not self.reader.take(wire.PeerDown(name, f"{name}.1"))
+        assert not self.reader.handle(wire.PeerDown(name, f"{name}.1"))
 
     def deltas(self, name: str) -> list[wire.ConfigDelta]:
         return [
@@ -68,7 +68,7 @@
     return agent
 
 
-def test_entry_is_sent_what_changed() -> None:
+def test_entry_is_sent_the_difference() -> None:
     async def use(agent: _Agent) -> None:
         agent.store.put("config", _config_of(1))
         agent.join("entry-0")
@@ -76,27 +76,27 @@
         agent.store.put("config", _config_of(2))
         await anyio.sleep(1.0)
 
-    whole, change = _run(use).deltas("entry-0")
+    whole, difference = _run(use).deltas("entry-0")
     entry = leases.ConfigExchange()
     entry.learn(1, entry.restore(whole), whole.log_end)
-    assert entry.restore(change) == _config_of(2)
-    assert change.base
-    assert change.log_end == 2
+    assert entry.restore(difference) == _config_of(2)
+    assert difference.base
+    assert difference.log_end == 2
 
 
-def test_nothing_is_read_for_nobody() -> None:
+def test_nothing_is_read_without_entries() -> None:
     async def use(agent: _Agent) -> None:
         agent.store.put("config", _config_of(1))
         await anyio.sleep(1.0)
-        assert not agent.store.carried
+        assert not agent.store.sent_bytes
         agent.join("entry-0")
         await anyio.sleep(1.0)
         agent.leave("entry-0")
-        read = agent.store.carried
+        sent_bytes = agent.store.sent_bytes
         agent.store.put("config", _config_of(2))
         await anyio.sleep(3.0)
-        assert agent.store.carried == read
-        # It comes back, one version behind.
+        assert agent.store.sent_bytes == sent_bytes
+        # The entry returns, one version behind.
         agent.join("entry-0", _last_digest(agent))
         await anyio.sleep(1.0)
 
@@ -105,7 +105,7 @@
 
 
 def _last_digest(agent: _Agent) -> bytes:
-    """Return the digest of what an entry was sent last."""
+    """Return the digest of the configuration that an entry was sent last."""
     return agent.deltas("entry-0")[-1].digest
 
 
@@ -118,23 +118,25 @@
     assert not _run(use).deltas("entry-0")
 
 
-class _Bringer(_config.ConfigBringer):
-    """An agent that may fail to bring anything."""
+class _AgentReader(_config.RemoteReader):
+    """An agent that may fail to deliver configurations."""
 
     def __init__(self) -> None:
-        self.misses = 0
+        self.timeouts = 0
 
     @property
-    def present(self) -> bool:
+    def available(self) -> bool:
         return True
 
-    def missed(self) -> None:
-        self.misses += 1
+    def timed_out(self) -> None:
+        self.timeouts += 1
 
 
-def _follow(brings: bool) -> tuple[slow_store.Store, _Bringer, list[float]]:
-    """Write a large configuration that is brought at once, or never."""
-    bringer = _Bringer()
+def _follow(
+    delivers: bool,
+) -> tuple[slow_store.Store, _AgentReader, list[float]]:
+    """Write a large configuration that is delivered at once or never."""
+    remote = _AgentReader()
     in_force: list[float] = []
 
     async def main() -> slow_store.Store:
@@ -144,29 +146,29 @@
             lambda data: in_force.append(anyio.current_time()),
             lambda state: None,
             _config_pace.ConfigPace(3.0, 250_000.0),
-            bringer,
+            remote,
         )
         async with anyio.create_task_group() as group:
             group.start_soon(follower.run)
             await anyio.sleep(5.05)
             store.put("config", bytes(200_000))
-            if brings:
-                follower.bring(1, 200_000)
+            if delivers:
+                follower.on_delivered(1, 200_000)
             await anyio.sleep(4.0)
             group.cancel_scope.cancel()
         return store
 
-    return paused_clock.run(main), bringer, in_force
+    return paused_clock.run(main), remote, in_force
 
 
-def test_what_is_brought_is_not_read() -> None:
-    store, bringer, _ = _follow(brings=True)
-    assert not store.carried
-    assert not bringer.misses
+def test_delivered_configuration_is_not_read() -> None:
+    store, remote, _ = _follow(delivers=True)
+    assert not store.sent_bytes
+    assert not remote.timeouts
 
 
-def test_read_ends_when_the_same_is_brought() -> None:
-    """An entry that starts reads at once, until an agent is found."""
+def test_delivery_cancels_the_read_of_the_same_version() -> None:
+    """An entry that starts reads the store until an agent reads for it."""
     in_force: list[bytes] = []
 
     async def main() -> None:
@@ -181,7 +183,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(follower.run)
             await anyio.sleep(0.2)
-            follower.bring(1, 200_000)
+            follower.on_delivered(1, 200_000)
             await anyio.sleep(5.0)
             store.put("config", b"{}")
             await anyio.sleep(1.0)
@@ -191,8 +193,8 @@
     assert in_force == [b"{}"]
 
 
-def test_what_is_not_brought_is_read_in_time() -> None:
-    """The agent died midway, or the store turned it away."""
-    _, bringer, in_force = _follow(brings=False)
-    assert bringer.misses == 1
+def test_undelivered_configuration_is_read_in_time() -> None:
+    """The agent may have crashed, or the store may have refused its calls."""
+    _, remote, in_force = _follow(delivers=False)
+    assert remote.timeouts == 1
     assert in_force[0] - 5.05 < 3.0
--- a/src/ferryledge/hosted/tests/test_config_storm.py
+++ b/src/ferryledge/hosted/tests/test_config_storm.py
@@ -1,8 +1,7 @@
-"""A follower that is given many versions while reads take long.
+"""Tests a follower whose versions change faster than the link carries them.
 
-It read each record of the log in turn. Versions came faster than the link
-carried them, so it fell behind more with each, and an answer that held
-several of them ran out of time and was read anew from its start.
+Guards against a follower that reads every version and falls further and
+further behind.
 """
 
 import typing
@@ -23,8 +22,8 @@
 _BODY = b"x" * 200_000
 
 
-class _Heard:
-    """When what was written was in force here."""
+class _Recorder:
+    """Records when each version and each set of cordons was reported."""
 
     def __init__(self) -> None:
         self.versions: dict[int, float] = {}
@@ -33,23 +32,23 @@
     def read(self, data: bytes) -> None:
         self.versions[int(data[:8])] = anyio.current_time()
 
-    def cordoned(self, state: wire.CordonedZones) -> None:
-        self.zones.setdefault(state.zones, anyio.current_time())
+    def cordoned(self, cordons: wire.CordonedZones) -> None:
+        self.zones.setdefault(cordons.zones, anyio.current_time())
 
 
 def _storm(
     lost: int = 0,
-) -> tuple[slow_store.Store, _Heard, dict[int, float], float]:
-    """Write many versions and, in their midst, a cordon."""
-    heard = _Heard()
+) -> tuple[slow_store.Store, _Recorder, dict[int, float], float]:
+    """Write many versions and, halfway through them, a cordon."""
+    recorder = _Recorder()
     written: dict[int, float] = {}
 
     async def main() -> tuple[slow_store.Store, float]:
         store = slow_store.Store(_LINK)
         follower = _config.OperatorFollower(
             store,
-            heard.read,
-            heard.cordoned,
+            recorder.read,
+            recorder.cordoned,
             _config_pace.ConfigPace(_BOUND_S, _LINK),
         )
         async with anyio.create_task_group() as group:
@@ -68,40 +67,40 @@
         return store, cordoned_at
 
     store, cordoned_at = paused_clock.run(main)
-    return store, heard, written, cordoned_at
+    return store, recorder, written, cordoned_at
 
 
-def _in_force_s(heard: _Heard, written: dict[int, float]) -> float:
-    """Return how long after it was written a version was in force."""
+def _in_force_s(recorder: _Recorder, written: dict[int, float]) -> float:
+    """Return the longest time from a write until it was in force."""
     return max(
-        min(at for one, at in heard.versions.items() if one >= version)
+        min(at for newer, at in recorder.versions.items() if newer >= version)
         - written_at
         for version, written_at in written.items()
     )
 
 
 def test_versions_are_in_force_in_time() -> None:
-    _, heard, written, _ = _storm()
-    assert _in_force_s(heard, written) < _BOUND_S
-    assert list(heard.versions) == sorted(heard.versions)
+    _, recorder, written, _ = _storm()
+    assert _in_force_s(recorder, written) < _BOUND_S
+    assert list(recorder.versions) == sorted(recorder.versions)
 
 
 def test_replaced_versions_are_not_read() -> None:
-    store, heard, written, _ = _storm()
+    store, recorder, written, _ = _storm()
     storm_s = _EVERY_S * len(written)
-    assert len(heard.versions) < 0.4 * len(written)
-    assert store.carried < 0.8 * _LINK * (storm_s + _BOUND_S)
+    assert len(recorder.versions) < 0.4 * len(written)
+    assert store.sent_bytes < 0.8 * _LINK * (storm_s + _BOUND_S)
 
 
 def test_cordon_does_not_wait_for_a_configuration() -> None:
-    _, heard, _, cordoned_at = _storm()
-    assert heard.zones[("hall-a",)] - cordoned_at < 0.6
-    # It never goes back.
-    assert list(heard.zones) == [(), ("hall-a",)]
+    _, recorder, _, cordoned_at = _storm()
+    assert recorder.zones[("hall-a",)] - cordoned_at < 0.6
+    # The cordon is reported once and not withdrawn.
+    assert list(recorder.zones) == [(), ("hall-a",)]
 
 
-def test_what_cannot_be_read_changes_nothing() -> None:
-    """The one before it counts, also if both came during a read."""
+def test_invalid_configuration_is_ignored() -> None:
+    """The version before it stays in force, even if not read until then."""
     in_force: list[bytes] = []
 
     def read(data: bytes) -> None:
@@ -130,9 +129,9 @@
     assert in_force[-1] == b"1"
 
 
-def test_cordons_in_a_row_do_not_wait() -> None:
-    """Each during the read of another configuration."""
-    heard = _Heard()
+def test_repeated_cordons_do_not_wait_for_configurations() -> None:
+    """Each cordon is written during the read of another configuration."""
+    recorder = _Recorder()
     written: dict[str, float] = {}
 
     async def main() -> None:
@@ -140,7 +139,7 @@
         follower = _config.OperatorFollower(
             typing.cast(platform.StoreClient, store),
             lambda data: None,
-            heard.cordoned,
+            recorder.cordoned,
             _config_pace.ConfigPace(_BOUND_S, _LINK),
         )
         async with anyio.create_task_group() as group:
@@ -157,11 +156,13 @@
 
     paused_clock.run(main)
     for zone, at in written.items():
-        heard_at = min(t for zones, t in heard.zones.items() if zone in zones)
-        assert heard_at - at < 0.6
+        reported_at = min(
+            t for zones, t in recorder.zones.items() if zone in zones
+        )
+        assert reported_at - at < 0.6
 
 
-def test_lost_answer_is_made_up_for() -> None:
-    _, heard, written, _ = _storm(lost=1)
-    assert max(heard.versions) == max(written)
-    assert ("hall-a",) in heard.zones
+def test_follower_recovers_from_a_lost_answer() -> None:
+    _, recorder, written, _ = _storm(lost=1)
+    assert max(recorder.versions) == max(written)
+    assert ("hall-a",) in recorder.zones
--- a/src/ferryledge/hosted/tests/test_members.py
+++ b/src/ferryledge/hosted/tests/test_members.py
@@ -1,4 +1,4 @@
-"""What the store tells of entries."""
+"""Tests the decoding of entries' records."""
 
 import msgspec
 import pytest
@@ -27,7 +27,7 @@
         _address("c", "10.0.0.1", 7720),
     ],
 )
-def test_record_of_another_writer_names_no_entry(value: bytes) -> None:
-    good = platform.KeyedRecord("a", _address("a", "10.0.0.1", 7720))
-    found = _members._decode((platform.KeyedRecord("b", value), good))
-    assert found == (wire.EntryAddress("a", "10.0.0.1", 7720),)
+def test_invalid_record_is_ignored(value: bytes) -> None:
+    valid = platform.KeyedRecord("a", _address("a", "10.0.0.1", 7720))
+    entries = _members._decode((platform.KeyedRecord("b", value), valid))
+    assert entries == (wire.EntryAddress("a", "10.0.0.1", 7720),)
--- a/src/ferryledge/hosted/tests/test_operator_log.py
+++ b/src/ferryledge/hosted/tests/test_operator_log.py
@@ -1,4 +1,4 @@
-"""What is known of the operators' log, whatever order it is learned in."""
+"""Tests tracking the operators' log when pages arrive in any order."""
 
 from ferryledge.hosted import _operator_log
 from ferryledge import platform
@@ -25,51 +25,51 @@
     return platform.KeyedPage(records, end, 0, end)
 
 
-def test_records_that_are_passed_over_hide_no_cordon() -> None:
+def test_cordon_in_skipped_records_is_not_missed() -> None:
     log = _operator_log.OperatorLog()
-    log.list_others(_listed(3))
-    # Two records between were not read: one may be a cordon.
-    assert not log.read(_page(5, "config"))
+    log.apply_others(_listed(3))
+    # Two records were skipped; one of them may be a cordon.
+    assert not log.apply_page(_page(5, "config"))
     assert log.cordons.version == 3
-    assert log.list_others(_listed(6, _record(_CORDON, 3)))
+    assert log.apply_others(_listed(6, _record(_CORDON, 3)))
     assert log.cordons.zones == ("hall-a",)
 
 
-def test_late_list_brings_no_cordon_back() -> None:
+def test_outdated_list_does_not_restore_a_cordon() -> None:
     log = _operator_log.OperatorLog()
-    log.list_others(_listed(3, _record(_CORDON, 2)))
-    assert log.read(_page(3, _CORDON, value=b""))
-    assert not log.list_others(_listed(3, _record(_CORDON, 2)))
+    log.apply_others(_listed(3, _record(_CORDON, 2)))
+    assert log.apply_page(_page(3, _CORDON, value=b""))
+    assert not log.apply_others(_listed(3, _record(_CORDON, 2)))
     assert log.cordons.zones == ()
 
 
-def test_records_that_were_listed_change_nothing_again() -> None:
+def test_records_before_a_list_are_ignored() -> None:
     log = _operator_log.OperatorLog()
-    log.list_others(_listed(5))
-    assert not log.read(_page(3, _CORDON))
+    log.apply_others(_listed(5))
+    assert not log.apply_page(_page(3, _CORDON))
     assert log.cordons.zones == ()
 
 
-def test_only_what_is_not_listed_may_be_a_configuration() -> None:
+def test_unlisted_records_are_counted_as_unseen() -> None:
     log = _operator_log.OperatorLog()
     log.skip_to(4)
-    assert log.unknown(_listed(5, _record(_CORDON, 4))) == 0
-    assert log.unknown(_listed(6, _record(_CORDON, 4))) == 1
-    assert log.unknown(_listed(4, _record(_CORDON, 2))) == 0
+    assert log.count_unseen(_listed(5, _record(_CORDON, 4))) == 0
+    assert log.count_unseen(_listed(6, _record(_CORDON, 4))) == 1
+    assert log.count_unseen(_listed(4, _record(_CORDON, 2))) == 0
 
 
-def test_end_of_a_cordon_is_no_configuration() -> None:
+def test_end_of_a_cordon_is_not_counted_as_unseen() -> None:
     log = _operator_log.OperatorLog()
-    log.list_others(_listed(4, _record(_CORDON, 3)))
+    log.apply_others(_listed(4, _record(_CORDON, 3)))
     log.skip_to(4)
     ended = _listed(5)
-    log.list_others(ended)
-    assert log.unknown(ended) == 0
+    log.apply_others(ended)
+    assert log.count_unseen(ended) == 0
     log.skip_to(5)
-    assert log.unknown(_listed(6)) == 1
+    assert log.count_unseen(_listed(6)) == 1
 
 
-def test_last_configuration_counts() -> None:
+def test_last_configuration_is_returned() -> None:
     records = (
         platform.KeyedRecord("config", b"1", 0),
         platform.KeyedRecord("config", b"2", 1),
--- a/src/ferryledge/hosted/tests/test_operators.py
+++ b/src/ferryledge/hosted/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators write reaches an entry, also while the store fails."""
+"""Tests following the operators' log with the stand-in store."""
 
 import math
 
@@ -15,24 +15,26 @@
 _TOPIC = platform.CONFIG_TOPIC
 
 
-class _Heard:
-    """What a follower told, in its order."""
+class _Recorder:
+    """Records a follower's reports in order."""
 
     def __init__(self) -> None:
-        self.told: list[wire.CordonedZones | bytes] = []
+        self.reports: list[wire.CordonedZones | bytes] = []
 
     @property
     def zones(self) -> tuple[str, ...] | None:
-        """The zones that are cordoned by the last word."""
-        states = [
-            one for one in self.told if isinstance(one, wire.CordonedZones)
+        """The cordoned zones of the last report."""
+        cordons = [
+            report
+            for report in self.reports
+            if isinstance(report, wire.CordonedZones)
         ]
-        return states[-1].zones if states else None
+        return cordons[-1].zones if cordons else None
 
 
-async def _until(heard: _Heard, zones: tuple[str, ...]) -> None:
+async def _wait_for(recorder: _Recorder, zones: tuple[str, ...]) -> None:
     with anyio.fail_after(10.0):
-        while heard.zones != zones:
+        while recorder.zones != zones:
             await anyio.sleep(0.01)
 
 
@@ -46,7 +48,7 @@
     store = standin.StoreServer()
     store.put(_TOPIC, "config", b"{}")
     store.put(_TOPIC, "evacuate/hall-a", b"{}")
-    heard = _Heard()
+    recorder = _Recorder()
     async with anyio.create_task_group() as group:
         port = await group.start(
             net.serve_http,
@@ -57,41 +59,40 @@
         )
         follower = _config.OperatorFollower(
             platform.StoreClient(f"127.0.0.1:{port}"),
-            heard.told.append,
-            heard.told.append,
+            recorder.reports.append,
+            recorder.reports.append,
             _config_pace.ConfigPace(3.0, math.inf),
         )
         group.start_soon(follower.run)
-        await _until(heard, ("hall-a",))
+        await _wait_for(recorder, ("hall-a",))
         with anyio.fail_after(10.0):
-            while b"{}" not in heard.told:
+            while b"{}" not in recorder.reports:
                 await anyio.sleep(0.01)
-        # Nothing may be ordered by a configuration before that.
-        first = heard.told[0]
+        # Cordons must be known before a configuration takes effect.
+        first = recorder.reports[0]
         assert isinstance(first, wire.CordonedZones)
         assert first.zones == ("hall-a",)
-        # Its value may come from a writer that nobody here knows.
+        # The key alone decides; a cordon's value may be anything.
         store.put(_TOPIC, "evacuate/hall-b", b"\xff not JSON")
-        await _until(heard, ("hall-a", "hall-b"))
+        await _wait_for(recorder, ("hall-a", "hall-b"))
         store.put(_TOPIC, "evacuate/hall-a", b"")
-        await _until(heard, ("hall-b",))
+        await _wait_for(recorder, ("hall-b",))
         store.put(_TOPIC, "evacuate/hall-b", b"")
-        await _until(heard, ())
+        await _wait_for(recorder, ())
         group.cancel_scope.cancel()
     versions = [
-        one.version
-        for one in heard.told
-        if isinstance(one, wire.CordonedZones)
+        report.version
+        for report in recorder.reports
+        if isinstance(report, wire.CordonedZones)
     ]
     assert versions == sorted(set(versions))
 
 
 @pytest.mark.anyio
-async def test_what_is_written_between_two_pages_is_read() -> None:
-    """A list of records in pages is no snapshot: each has an end of its own.
+async def test_record_written_between_two_pages_is_not_skipped() -> None:
+    """A paged list is no snapshot, so reading resumes at the first page's end.
 
-    A record that came after the first page, under a key that it had passed,
-    is on no page and before the last one's end.
+    A record that is written between two pages may be on neither of them.
     """
 
     async def handle(request: net.Request) -> net.HttpResponse:
