--- a/src/ferryledge/platform/__init__.py
+++ b/src/ferryledge/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The users' platform: its names, formats and calls, and no decisions.
+"""Formats and protocols of the platform that this project runs on.
 
-Everything that the platform spells is decoded here, once, into types of
-the project.
+Settings, configurations, jobs and heartbeats are decoded and validated here
+into the project's own types. Scheduling decisions are made elsewhere.
 """
 
 import typing
@@ -49,7 +49,8 @@
     render_running = _jobs.render_running
     split_address = _settings.split_address
 else:
-    # An agent needs no jobs or configurations, an entry no endpoint.
+    # Loaded on first use: an agent doesn't need the modules for jobs and
+    # configurations, and an entry doesn't need those for endpoints.
     __getattr__ = _lazy.attach(
         __name__,
         {
--- a/src/ferryledge/platform/_config.py
+++ b/src/ferryledge/platform/_config.py
@@ -1,4 +1,4 @@
-"""The configuration that operators write into the store."""
+"""Decoding of the configuration that operators write to the store."""
 
 from collections import abc
 import dataclasses
@@ -7,48 +7,51 @@
 
 from ferryledge import leases
 
-#: Topic and key of the newest configuration.
+#: Topic and key of the record that holds the configuration.
 CONFIG_TOPIC = "keyed.op"
 CONFIG_KEY = "config"
-#: What leads the key of a record that cordons the zone it names.
+#: Key prefix of a record that cordons a zone; the zone's name follows.
 CORDON_PREFIX = "evacuate/"
 
-#: The platform's clients can use an answer until three times the objective;
-#: after that it counts as none.
+#: Multiple of the latency objective until which an answer is useful to the
+#: platform's clients.
 _LATE_FACTOR = 3.0
 
 
 class ConfigError(Exception):
-    """The configuration can't be read."""
+    """The configuration is malformed."""
 
 
-class _Part(msgspec.Struct, frozen=True, rename="pascal"):
-    """A table of the configuration; unknown fields are passed over."""
+class _Table(msgspec.Struct, frozen=True, rename="pascal"):
+    """A table of the configuration; unknown fields are ignored."""
 
 
-class _Route(_Part, frozen=True):
+class _Route(_Table, frozen=True):
     name: str
     hostname: str
     path_prefix: str
-    #: Name of the service that runs its tasks.
+    #: Name of the service whose endpoints run the tasks.
     backend: str
-    #: Added to the stretched work, in ms.
+    #: Constant part of the latency objective in ms.
     target_latency_ms: float = 0
-    #: 0 comes first.
+    #: 0 is the most urgent.
     priority: int = 0
     attempts: int = 1
+    #: Multiple of the longest task's run time in the latency objective.
     stretch: float = 1.0
 
 
-class _Config(_Part, frozen=True):
+class _Config(_Table, frozen=True):
     version: int
     routes: tuple[_Route, ...] = ()
 
 
 def cordoned_zone(key: str) -> str | None:
-    """Return the zone that a record under a key cordons; none if none.
+    """Return the zone that a record cordons, or ``None`` for other keys.
 
-    It does while it stands, whatever its value holds.
+    The zone is cordoned while the record exists, whatever its value.
+
+    :param key: key of the record
     """
     if not key.startswith(CORDON_PREFIX):
         return None
@@ -57,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """A queue of jobs, as clients address it."""
+    """A queue of jobs and the address that clients submit them to."""
 
     hostname: str
     path_prefix: str
@@ -65,43 +68,48 @@
 
 
 class Configuration:
-    """The whole configuration at one version.
+    """One version of the whole configuration.
 
-    A queue is made when it is first looked for: most of a large configuration
-    is asked for seldom, and to make it all holds up the process.
+    A route is converted when it is first looked up. Converting all routes of
+    a large configuration at once would block the event loop, and most of
+    them are rarely used.
 
-    :param version: its version
-    :param routes: as operators wrote them
+    :param version: version of the configuration
+    :param routes: the decoded routes
     """
 
     def __init__(self, version: int, routes: abc.Iterable[_Route]) -> None:
         self._version = version
-        #: Those of each host, the longest prefix first.
+        #: Routes of each host name, the longest path prefix first.
         self._by_hostname: dict[str, list[_Route]] = {}
         for route in routes:
             host = route.hostname.lower()
             self._by_hostname.setdefault(host, []).append(route)
-        for several in self._by_hostname.values():
-            several.sort(key=_prefix_length, reverse=True)
-        self._made: dict[tuple[str, str], Route] = {}
+        for host_routes in self._by_hostname.values():
+            host_routes.sort(key=_prefix_length, reverse=True)
+        self._converted: dict[tuple[str, str], Route] = {}
 
     @property
     def version(self) -> int:
-        """Rises with each change."""
+        """Version number, which increases with each change."""
         return self._version
 
     def find(self, hostname: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, or none."""
+        """Return the route with the longest prefix of a path, or ``None``.
+
+        :param hostname: host name in lower case
+        :param path: path of the request
+        """
         for route in self._by_hostname.get(hostname, ()):
             if path.startswith(route.path_prefix):
-                return self._make(hostname, route)
+                return self._convert(hostname, route)
         return None
 
-    def _make(self, hostname: str, route: _Route) -> Route:
-        place = hostname, route.path_prefix
-        if place not in self._made:
-            self._made[place] = Route(*place, _job_class(route))
-        return self._made[place]
+    def _convert(self, hostname: str, route: _Route) -> Route:
+        route_key = hostname, route.path_prefix
+        if route_key not in self._converted:
+            self._converted[route_key] = Route(*route_key, _job_class(route))
+        return self._converted[route_key]
 
 
 def _job_class(route: _Route) -> leases.JobClass:
@@ -128,17 +136,19 @@
 
 
 def config_version(data: bytes) -> int:
-    """Return the version of what a record's value holds.
+    """Return the version of an encoded configuration.
 
-    :raises ConfigError: if it is not valid
+    :param data: value of the configuration's record
+    :raises ConfigError: if the configuration is malformed
     """
     return _decode(data).version
 
 
 def parse_config(data: bytes) -> Configuration:
-    """Return the configuration that a record's value holds.
+    """Decode a configuration.
 
-    :raises ConfigError: if it is not valid
+    :param data: value of the configuration's record
+    :raises ConfigError: if the configuration is malformed
     """
     config = _decode(data)
     return Configuration(config.version, config.routes)
--- a/src/ferryledge/platform/_endpoint.py
+++ b/src/ferryledge/platform/_endpoint.py
@@ -1,4 +1,4 @@
-"""Calls to the endpoint beside an agent."""
+"""A client of the endpoint that an agent manages."""
 
 from collections import abc
 import typing
@@ -10,14 +10,15 @@
 from ferryledge import net
 from ferryledge import wire
 
-#: Connections for orders; each new one is priced, so few are kept.
+#: Connections for orders; few, since each new connection has a cost.
 _ORDER_CONNECTIONS = 3
-#: Seconds after which an order that is still without an answer keeps no other
-#: waiting: longer than answers take, shorter than a lost one is waited for.
+#: Seconds after which an unanswered order no longer counts against the limit
+#: of connections. More than the usual answer time and less than the timeout,
+#: so that a lost order doesn't block others.
 _ORDER_PERMIT_S = 0.005
 _CONNECT_S = 0.2
 
-_HOW = {
+_HOW_ENDED = {
     "done": wire.HowEnded.DONE,
     "failed": wire.HowEnded.FAILED,
     "stopped": wire.HowEnded.STOPPED,
@@ -25,7 +26,7 @@
     "broken": wire.HowEnded.STOPPED,
     "alone": wire.HowEnded.STOPPED,
 }
-_REASONS = {
+_START_RESULTS = {
     "fence": leases.StartResult.FENCED,
     "old": leases.StartResult.RUN_NUMBER,
     "late": leases.StartResult.LATE,
@@ -38,37 +39,41 @@
     reason: str = ""
 
 
-class _Lists(msgspec.Struct, frozen=True, rename="pascal"):
+class _RunLists(msgspec.Struct, frozen=True, rename="pascal"):
     clock_ms: int = 0
-    #: Rows of task, run, saved text and percent.
+    #: Rows of task, run number, saved text and progress in percent.
     running: tuple[tuple[typing.Any, ...], ...] = ()
-    #: Rows of number, task, run, how it ended and saved text.
+    #: Rows of sequence number, task, run number, how the run ended and saved
+    #: text.
     ended: tuple[tuple[typing.Any, ...], ...] = ()
     #: Unix time of the endpoint's start in ms.
     born: int = msgspec.field(default=0, name="born")
 
 
 def _task_name(key: leases.RunKey) -> str:
-    """Return a task's name; the 0 says that the job has no times."""
+    """Return the platform's name of a task.
+
+    The 0 marks a job that isn't repeated.
+    """
     return f"{key.job}.0.{key.step}.{key.index}"
 
 
-def _key(task: str, run: int) -> leases.RunKey:
+def _parse_run_key(task: str, run: int) -> leases.RunKey:
     job, _, step, index = task.rsplit(".", 3)
     return leases.RunKey(job, int(step), int(index), run)
 
 
-def _listed(row: tuple[typing.Any, ...]) -> leases.ListedRun:
+def _parse_running(row: tuple[typing.Any, ...]) -> leases.ListedRun:
     task, run, _, percent = row[:4]
-    return leases.ListedRun(_key(task, run), percent / 100.0)
+    return leases.ListedRun(_parse_run_key(task, run), percent / 100.0)
 
 
-def _ended(row: tuple[typing.Any, ...]) -> leases.ListedEnd:
+def _parse_end(row: tuple[typing.Any, ...]) -> leases.ListedEnd:
     number, task, run, how = row[:4]
-    return leases.ListedEnd(number, _key(task, run), _HOW[how])
+    return leases.ListedEnd(number, _parse_run_key(task, run), _HOW_ENDED[how])
 
 
-def _fault(status: int, answer: _Answer) -> leases.CallFault:
+def _call_fault(status: int, answer: _Answer) -> leases.CallFault:
     if status == 421:
         return leases.CallFault.REPLACED
     if status == 409 and answer.reason == "fence":
@@ -80,14 +85,14 @@
     try:
         return msgspec.json.decode(content, type=_Answer)
     except msgspec.DecodeError:
-        return _Answer()  # Error answers may have no body.
+        return _Answer()  # Error responses may have no body.
 
 
 class EndpointCalls:
-    """Orders and renewals by the endpoint's protocol.
+    """Starts, stops and lists runs, and renews the lease, over HTTP.
 
     :param address: ``host:port`` of the endpoint
-    :param now: the clock that the agent decides by
+    :param now: the agent's monotonic clock, in seconds
     """
 
     def __init__(
@@ -95,18 +100,18 @@
     ) -> None:
         self._now = now
         url = f"http://{address}"
-        self._orders = net.HttpCaller(
+        self._order_caller = net.HttpCaller(
             url, _ORDER_CONNECTIONS, permit_s=_ORDER_PERMIT_S
         )
-        self._renewals = net.HttpCaller(url, 1)
+        self._renewal_caller = net.HttpCaller(url, 1)
 
     async def close(self) -> None:
         """Close all connections that are not in use."""
-        await self._orders.close()
-        await self._renewals.close()
+        await self._order_caller.close()
+        await self._renewal_caller.close()
 
     async def start(self, order: leases.StartRun) -> leases.StartAnswered:
-        """Order a run, and tell what became of the order."""
+        """Start a run and return the result."""
         fields = {
             "Task": _task_name(order.key),
             "Run": order.key.run,
@@ -119,15 +124,15 @@
                 "/run-start", fields, order.incarnation, order.answer_s
             )
         except net.ConnectError:
-            return _started(order, leases.StartResult.DOWN, 0)
+            return _start_answered(order, leases.StartResult.DOWN, 0)
         except net.CallError:
-            return _started(order, leases.StartResult.SILENT, 0)
+            return _start_answered(order, leases.StartResult.SILENT, 0)
         answer = _decode(response.content)
         result = _start_result(response.status, answer)
-        return _started(order, result, answer.clock_ms)
+        return _start_answered(order, result, answer.clock_ms)
 
     async def stop(self, order: leases.StopRun) -> leases.StopAnswered:
-        """Order a stop, and tell whether it was confirmed."""
+        """Stop a run and return whether the endpoint confirmed it."""
         fields = {
             "Task": _task_name(order.key),
             "Run": order.key.run,
@@ -145,16 +150,20 @@
     async def list_runs(
         self, renewal: leases.Renewal
     ) -> leases.LeaseRenewed | leases.LeaseNotRenewed:
-        """Renew the lease beside the call that waits for ends."""
-        return await self._hold(renewal, self._orders)
+        """List the endpoint's runs while :meth:`renew` may be waiting.
+
+        It uses the connections for orders, since a renewal occupies its own
+        connection until it is answered.
+        """
+        return await self._send_renewal(renewal, self._order_caller)
 
     async def renew(
         self, renewal: leases.Renewal
     ) -> leases.LeaseRenewed | leases.LeaseNotRenewed:
-        """Renew the lease; tells what runs and what has ended."""
-        return await self._hold(renewal, self._renewals)
+        """Renew the lease and list the running and ended runs."""
+        return await self._send_renewal(renewal, self._renewal_caller)
 
-    async def _hold(
+    async def _send_renewal(
         self, renewal: leases.Renewal, caller: net.HttpCaller
     ) -> leases.LeaseRenewed | leases.LeaseNotRenewed:
         fields: dict[str, object] = {
@@ -179,15 +188,15 @@
             return _not_renewed(renewal, leases.CallFault.BROKEN)
         if response.status != 200:
             answer = _decode(response.content)
-            fault = _fault(response.status, answer)
+            fault = _call_fault(response.status, answer)
             return _not_renewed(renewal, fault, answer.clock_ms)
-        lists = msgspec.json.decode(response.content, type=_Lists)
+        lists = msgspec.json.decode(response.content, type=_RunLists)
         return leases.LeaseRenewed(
             sent_at,
             renewal.incarnation,
             lists.clock_ms,
-            tuple(_listed(row) for row in lists.running),
-            tuple(_ended(row) for row in lists.ended),
+            tuple(_parse_running(row) for row in lists.running),
+            tuple(_parse_end(row) for row in lists.ended),
             lists.born,
         )
 
@@ -203,7 +212,7 @@
         if incarnation:
             endpoint_id = leases.endpoint_id_of(incarnation)
             headers.append(("expect-instance", endpoint_id))
-        return await (caller or self._orders).call(
+        return await (caller or self._order_caller).call(
             "POST",
             path,
             msgspec.json.encode(fields),
@@ -213,7 +222,7 @@
         )
 
 
-def _started(
+def _start_answered(
     order: leases.StartRun, result: leases.StartResult, clock_ms: int
 ) -> leases.StartAnswered:
     return leases.StartAnswered(order.key, result, order.incarnation, clock_ms)
@@ -230,7 +239,9 @@
         case 200:
             return leases.StartResult.STARTED
         case 409:
-            return _REASONS.get(answer.reason, leases.StartResult.REJECTED)
+            return _START_RESULTS.get(
+                answer.reason, leases.StartResult.REJECTED
+            )
         case 421:
             return leases.StartResult.REPLACED
         case 429 | 503:
--- a/src/ferryledge/platform/_heartbeat.py
+++ b/src/ferryledge/platform/_heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats that an endpoint sends to the agent beside it."""
+"""Decoding of the heartbeats that an endpoint sends to its agent."""
 
 import typing
 
@@ -9,86 +9,87 @@
 
 
 class HeartbeatError(Exception):
-    """The body is no heartbeat."""
+    """The body is not a valid heartbeat."""
 
 
-_Count = typing.Annotated[int, msgspec.Meta(ge=0)]
+_NonNegativeInt = typing.Annotated[int, msgspec.Meta(ge=0)]
 
 
 class _Capacity(msgspec.Struct, frozen=True, rename="pascal"):
     #: Thousandths of a core.
-    cpu: _Count
-    mem_mb: _Count
-    gpu: _Count
+    cpu: _NonNegativeInt
+    mem_mb: _NonNegativeInt
+    gpu: _NonNegativeInt
 
 
-class _Beat(msgspec.Struct, frozen=True, rename="pascal"):
-    """A heartbeat; one without any of these comes from another writer."""
+class _Heartbeat(msgspec.Struct, frozen=True, rename="pascal"):
+    """A heartbeat; a body without the required fields is rejected."""
 
-    #: Name of the service that it runs tasks of.
+    #: Name of the service whose tasks the endpoint runs.
     backend: str
-    #: Where it takes calls, as ``host:port``.
+    #: Address that the endpoint listens on, as ``host:port``.
     address: str
     zone: str
-    #: Of its software.
+    #: Version of the endpoint's software.
     version: str
-    slots: _Count
+    slots: _NonNegativeInt
     state: typing.Literal["ready", "draining"]
-    #: How much longer it is slow from its start.
+    #: Milliseconds until the endpoint has warmed up after its start.
     cold_ms: float
     capacity: _Capacity
-    #: Its kind and its rack.
+    #: The endpoint's kind and rack.
     labels: tuple[str, ...]
-    #: Its steady clock.
-    clock_ms: _Count
-    #: Rises with each heartbeat.
-    seq: _Count
-    #: While draining: the least time until it is gone.
+    #: The endpoint's monotonic clock in milliseconds.
+    clock_ms: _NonNegativeInt
+    #: Sequence number, which increases with each heartbeat.
+    seq: _NonNegativeInt
+    #: While draining: milliseconds until the endpoint may shut down.
     remaining_ms: float = 0
-    #: Unix time of its start in ms.
-    born: _Count = msgspec.field(default=0, name="born")
+    #: Unix time of the endpoint's start in ms; 0 if it isn't reported.
+    born: _NonNegativeInt = msgspec.field(default=0, name="born")
 
 
 def parse_heartbeat(endpoint_id: str, body: bytes) -> leases.EndpointHeartbeat:
-    """Return what a heartbeat tells.
+    """Decode a heartbeat.
 
-    :param endpoint_id: the id in the call's path
-    :param body: the call's body
-    :raises HeartbeatError: if it is no heartbeat
+    :param endpoint_id: the id in the request's path
+    :param body: the request's body
+    :raises HeartbeatError: if the body is not a valid heartbeat
     """
     try:
-        beat = msgspec.json.decode(body, type=_Beat)
+        heartbeat = msgspec.json.decode(body, type=_Heartbeat)
     except msgspec.DecodeError as exc:
-        raise HeartbeatError(f"no heartbeat: {exc}") from exc
-    capacity = beat.capacity
+        raise HeartbeatError(f"invalid heartbeat: {exc}") from exc
+    capacity = heartbeat.capacity
     return leases.EndpointHeartbeat(
         endpoint_id,
-        beat.backend,
-        beat.address,
+        heartbeat.backend,
+        heartbeat.address,
         wire.Resources(capacity.cpu, capacity.mem_mb, capacity.gpu),
-        beat.labels,
-        beat.state == "draining",
-        beat.remaining_ms / 1000.0,
-        beat.clock_ms,
-        beat.seq,
-        beat.born,
-        max(0.0, beat.cold_ms / 1000.0),
+        heartbeat.labels,
+        heartbeat.state == "draining",
+        heartbeat.remaining_ms / 1000.0,
+        heartbeat.clock_ms,
+        heartbeat.seq,
+        heartbeat.born,
+        max(0.0, heartbeat.cold_ms / 1000.0),
     )
 
 
-class _LastWord(msgspec.Struct, frozen=True):
-    #: Unix time of the endpoint's start in ms.
-    born: _Count = 0
+class _Deregistration(msgspec.Struct, frozen=True):
+    #: Unix time of the endpoint's start in ms; 0 if it isn't reported.
+    born: _NonNegativeInt = 0
 
 
 def parse_deregister(endpoint_id: str, body: bytes) -> leases.EndpointLeft:
-    """Return what an endpoint's last word tells.
+    """Decode the call by which an endpoint announces its shutdown.
 
-    :param endpoint_id: the id in the call's path
-    :param body: the call's body; it may be empty
+    :param endpoint_id: the id in the request's path
+    :param body: the request's body; a malformed or empty body counts as one
+        without a start time
     """
     try:
-        last = msgspec.json.decode(body, type=_LastWord)
+        deregistration = msgspec.json.decode(body, type=_Deregistration)
     except msgspec.DecodeError:
-        last = _LastWord()
-    return leases.EndpointLeft(endpoint_id, last.born)
+        deregistration = _Deregistration()
+    return leases.EndpointLeft(endpoint_id, deregistration.born)
--- a/src/ferryledge/platform/_jobs.py
+++ b/src/ferryledge/platform/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as clients send them, and the answers that clients read."""
+"""Decoding of the clients' jobs and encoding of the responses."""
 
 import dataclasses
 
@@ -9,31 +9,31 @@
 from ferryledge import outcomes
 from ferryledge import wire
 
-#: Longest ``Spec`` that the platform allows, in bytes.
+#: Maximum length of a ``Spec`` on the platform, in bytes.
 MAX_SPEC_BYTES = 4000
-#: Most tasks in one job; the product's bound.
+#: Maximum number of tasks in a job.
 MAX_TASKS = 810
 
 
 class JobError(Exception):
-    """A job that can't be run as it is described.
+    """A job that can't be run as described.
 
-    :param field: the field that is wrong or not supported
-    :param message: what is the matter with it
+    :param field: the field that is invalid or not supported
+    :param message: the reason
     """
 
     def __init__(self, field: str, message: str) -> None:
         super().__init__(f"{field}: {message}")
-        #: The field that is wrong or not supported.
+        #: The field that is invalid or not supported.
         self.field = field
 
 
 class MalformedJobError(JobError):
-    """The body is no job."""
+    """The body is not a valid job."""
 
 
 class UnsupportedJobError(JobError):
-    """The job asks for something that this system does not do yet."""
+    """The job uses an option that is not supported yet."""
 
 
 class _Step(msgspec.Struct, frozen=True, rename="pascal"):
@@ -59,7 +59,7 @@
 class _Body(msgspec.Struct, frozen=True, rename="pascal"):
     spec: str
     steps: tuple[_Step, ...]
-    #: Nothing is kept of it: the answer comes once it has ended.
+    #: The job isn't stored; the request is answered when the job has ended.
     best_effort: bool = False
     repeat_count: int = 0
     long_running: bool = False
@@ -67,7 +67,7 @@
     speculative: bool = False
 
 
-#: Wishes that change how a task must run; to pass over them would be wrong.
+#: Options that change how a task must run, so they can't be ignored.
 _UNSUPPORTED_STEP = ("gang", "speculative", "long_running", "fills")
 _UNSUPPORTED_JOB = ("gang", "speculative", "long_running", "repeat_count")
 
@@ -75,50 +75,53 @@
 def parse_job(
     name: str, body: bytes, job_class: leases.JobClass, deadline_s: float
 ) -> leases.LeasedJob:
-    """Return the job that a body describes.
+    """Decode a job.
 
-    ``RackLocal`` and ``SavesProgress`` speed a task up and are passed over.
+    ``RackLocal`` and ``SavesProgress`` are ignored, since they only affect
+    how fast a task runs.
 
     :param name: the client's name for the job
     :param body: the request's body
-    :param job_class: from the route
-    :param deadline_s: seconds for which the client waits; 0 is unknown
-    :raises MalformedJobError: if the body is no job
-    :raises UnsupportedJobError: if it can't be run as described
+    :param job_class: the job class of the route
+    :param deadline_s: seconds that the client waits; 0 is unknown
+    :raises MalformedJobError: if the body is not a valid job
+    :raises UnsupportedJobError: if the job uses an unsupported option
     """
     try:
-        plain = msgspec.json.decode(body, type=_Body)
+        decoded = msgspec.json.decode(body, type=_Body)
     except msgspec.DecodeError as exc:
         raise MalformedJobError("body", str(exc)) from exc
-    _check(plain)
-    steps = tuple(_step(step) for step in plain.steps)
-    return leases.LeasedJob(name, job_class, plain.spec, steps, deadline_s)
+    _check(decoded)
+    steps = tuple(_step(step) for step in decoded.steps)
+    return leases.LeasedJob(name, job_class, decoded.spec, steps, deadline_s)
 
 
-def parse_deadline(text: str) -> float:
-    """Return the seconds for which a client waits; 0 is unknown.
+def parse_deadline(value: str) -> float:
+    """Return the seconds that a client waits; 0 is unknown.
 
-    :param text: the header's value in ms, or an empty text
-    :raises MalformedJobError: if it is no number
+    :param value: the header's value in ms; may be empty
+    :raises MalformedJobError: if the value is not a number
     """
-    if not text:
+    if not value:
         return 0.0
     try:
-        return max(0.0, float(text) / 1000.0)
+        return max(0.0, float(value) / 1000.0)
     except ValueError as exc:
-        raise MalformedJobError("Deadline-Ms", f"{text!r}: {exc}") from exc
+        raise MalformedJobError("Deadline-Ms", f"{value!r}: {exc}") from exc
 
 
 def _check(body: _Body) -> None:
     if not body.best_effort:
-        raise UnsupportedJobError("BestEffort", "kept jobs are not taken")
+        raise UnsupportedJobError(
+            "BestEffort", "stored jobs are not supported"
+        )
     for field in _UNSUPPORTED_JOB:
         if getattr(body, field):
             raise UnsupportedJobError(field, "not supported")
     if len(body.spec.encode()) > MAX_SPEC_BYTES:
         raise MalformedJobError("Spec", f"at most {MAX_SPEC_BYTES} bytes")
     if not body.steps:
-        raise MalformedJobError("Steps", "at least one is needed")
+        raise MalformedJobError("Steps", "at least one step is required")
     if sum(step.count for step in body.steps) > MAX_TASKS:
         raise UnsupportedJobError("Count", f"at most {MAX_TASKS} tasks")
     for number, step in enumerate(body.steps):
@@ -130,11 +133,11 @@
         if getattr(step, field):
             raise UnsupportedJobError(field, "not supported")
     if min(step.cpu, step.mem_mb, step.gpu) < 0:
-        raise MalformedJobError("Cpu, MemMb, Gpu", "may not be negative")
+        raise MalformedJobError("Cpu, MemMb, Gpu", "must not be negative")
     if step.count < 1:
-        raise MalformedJobError("Count", "at least one task is needed")
-    if any(not 0 <= one < number for one in step.depends_on):
-        raise MalformedJobError("DependsOn", "names no earlier step")
+        raise MalformedJobError("Count", "at least one task is required")
+    if any(not 0 <= earlier < number for earlier in step.depends_on):
+        raise MalformedJobError("DependsOn", "must name earlier steps only")
 
 
 def _step(step: _Step) -> leases.JobStep:
@@ -150,53 +153,59 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _State:
-    """The body that tells a job's state."""
+class _JobState:
+    """The body of a response with a job's state."""
 
-    word: str
+    state: str
 
     def response(self, status: int = 200) -> net.HttpResponse:
-        return net.HttpResponse.json(status, {"State": self.word})
+        return net.HttpResponse.json(status, {"State": self.state})
 
 
 def render_outcome(outcome: outcomes.JobOutcome) -> net.HttpResponse:
-    """Return the response that ends a client's wait.
+    """Return the response to a client whose job has ended.
 
-    A refusal says that the job never runs. A job that ran in part and could
-    not be ended is a 504: the client may send it again.
+    A 503 means that the job didn't run and never will. A 504 means that the
+    job may have run in part; the client may submit it again.
     """
     match outcome:
         case outcomes.Complete():
-            return _State("succeeded").response()
+            return _JobState("succeeded").response()
         case outcomes.FailedMayHaveRun(outcomes.Reason.TASK_FAILED):
-            return _State("failed").response()
+            return _JobState("failed").response()
         case outcomes.Refused(reason, _, retry_after_s, detail):
             return refusal(reason, retry_after_s, detail)
         case outcomes.FailedNotRun(reason, _, retry_after_s, detail):
             return refusal(reason, retry_after_s, detail)
         case outcomes.FailedMayHaveRun(reason, _, detail):
-            text = {"error": str(reason), "detail": detail, "ran": "maybe"}
-            return net.HttpResponse.json(504, text)
+            content = {"error": str(reason), "detail": detail, "ran": "maybe"}
+            return net.HttpResponse.json(504, content)
     return net.HttpResponse.json(500, {"error": outcomes.tag_of(outcome)})
 
 
 def refusal(
     reason: str, retry_after_s: float, detail: str = ""
 ) -> net.HttpResponse:
-    """Return a response that says: not run, and when to come back."""
+    """Return a response for a job that didn't run and never will.
+
+    :param reason: why the job was refused
+    :param retry_after_s: seconds after which the client may retry; 0 omits
+        the ``retry-after`` header
+    :param detail: further explanation
+    """
     headers: tuple[tuple[str, str], ...] = ()
     if retry_after_s > 0:
         seconds = max(1, round(retry_after_s))
         headers = (("retry-after", str(seconds)),)
-    text = {"error": str(reason), "detail": detail, "ran": "no"}
-    return net.HttpResponse.json(503, text, headers)
+    content = {"error": str(reason), "detail": detail, "ran": "no"}
+    return net.HttpResponse.json(503, content, headers)
 
 
 def render_running() -> net.HttpResponse:
-    """Return the state of a job that is held here."""
-    return _State("running").response()
+    """Return the response for a job that has not ended."""
+    return _JobState("running").response()
 
 
 def render_pending(count: int) -> net.HttpResponse:
-    """Return how many of a queue's jobs have not begun."""
+    """Return the response with the number of a queue's waiting jobs."""
     return net.HttpResponse.json(200, {"Pending": count})
--- a/src/ferryledge/platform/_settings.py
+++ b/src/ferryledge/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives each process."""
+"""The settings file that the platform provides to each process."""
 
 import math
 import os
@@ -8,138 +8,143 @@
 
 import msgspec
 
-#: Variable with the path of the settings file.
+#: Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "FERRYLEDGE_CONFIG"
 _BYTES_PER_MBIT = 125_000.0
 
 
 class SettingsError(Exception):
-    """The settings file is missing or wrong.
+    """The settings file is missing or invalid.
 
-    The message names the field and what to do.
+    The message names the variable, file, field or address at fault.
     """
 
 
-class _Part(msgspec.Struct, frozen=True, rename="pascal"):
-    """A table of the file; unknown fields are passed over."""
+class _Table(msgspec.Struct, frozen=True, rename="pascal"):
+    """A table of the settings file; unknown fields are ignored."""
 
 
-class Listen(_Part, frozen=True):
-    """Where this process listens, as ``host:port``; empty is not at all."""
+class Listen(_Table, frozen=True):
+    """Addresses to listen on, as ``host:port``; empty if unused."""
 
     frontend: str = ""
     readiness: str = ""
-    #: Where endpoints report, or other processes look for this one.
+    #: Receives the endpoint's heartbeats; used by agents only.
     control_plane: str = ""
 
 
-class Bounds(_Part, frozen=True):
-    """Times that the platform promises or asks for."""
+class Bounds(_Table, frozen=True):
+    """Times and factors that the platform guarantees or requires."""
 
-    #: Longest lease that an endpoint accepts, in ms.
+    #: Maximum duration of a lease at an endpoint, in ms.
     hold_max_ms: float = 1000
-    #: Longest time a stop takes at an endpoint, in ms.
+    #: Maximum time that an endpoint takes to stop a run, in ms.
     stop_ms: float = 50
     #: Seconds between SIGTERM and SIGKILL.
     grace_s: float = 6
-    #: How many times as long a task takes away from its data.
+    #: Factor on the run time of a task that isn't near its data.
     far_x: float = 1.0
-    #: Until when a configuration must be in force, in ms.
+    #: Time within which a new configuration must be in force, in ms.
     config_apply_ms: float = 2000
 
 
-class Limits(_Part, frozen=True):
-    """What the machine gives this process."""
+class Limits(_Table, frozen=True):
+    """Resources of the machine that this process may use."""
 
-    #: What its link carries, in Mbit/s; 0 is unknown.
+    #: Bandwidth of the network link in Mbit/s; 0 is unknown.
     link_mbps: float = 0.0
 
 
-class Store(_Part, frozen=True):
+class Store(_Table, frozen=True):
     """The platform's log store."""
 
     address: str = ""
-    #: Partitions that each topic has.
+    #: Number of partitions of each topic.
     partitions: int = msgspec.field(name="parts", default=1)
 
 
-class Settings(_Part, frozen=True):
-    """All settings that this system uses."""
+class Settings(_Table, frozen=True):
+    """The settings of one process."""
 
     #: The machine's name, unique in the deployment.
     node: str
-    #: IP number that peers reach this process at.
+    #: IP address at which peers reach this process.
     ip: str
-    #: The zone that the machine stands in.
+    #: The machine's availability zone.
     zone: str
-    #: First and last port that is free for streams between processes.
+    #: First and last port available for streams between processes.
     port_range: tuple[int, int]
     listen_addrs: Listen = Listen()
     bounds: Bounds = Bounds()
     limits: Limits = Limits()
-    #: Addresses of processes that may know others; may be stale.
+    #: Addresses of processes to discover entries from; may be stale.
     seeds: tuple[str, ...] = ()
     store: Store = msgspec.field(name="platform", default=Store())
-    #: ``host:port`` of the endpoint beside this process; empty at entries.
+    #: ``host:port`` of the agent's endpoint; empty at entries.
     endpoint: str = msgspec.field(name="app", default="")
 
-    #: Address to listen on for streams, if peers reach it through another.
+    #: Address to listen on for streams if it differs from ``ip``.
     listen_ip: str = ""
 
     @property
     def longest_lease_s(self) -> float:
-        """The longest lease that an endpoint accepts, in seconds."""
+        """Maximum duration of a lease at an endpoint, in seconds."""
         return self.bounds.hold_max_ms / 1000.0
 
     @property
     def stop_s(self) -> float:
-        """The longest time a stop takes at an endpoint, in seconds."""
+        """Maximum time that an endpoint takes to stop a run, in seconds."""
         return self.bounds.stop_ms / 1000.0
 
     @property
     def config_apply_s(self) -> float:
-        """Until when a configuration must be in force, in seconds."""
+        """Seconds within which a new configuration must be in force."""
         return self.bounds.config_apply_ms / 1000.0
 
     @property
     def link_bytes_per_s(self) -> float:
-        """What the machine's link carries; infinite if that is unknown."""
+        """Bandwidth of the network link; infinite if unknown."""
         mbps = self.limits.link_mbps
         return mbps * _BYTES_PER_MBIT if mbps > 0.0 else math.inf
 
     @property
     def stream_host(self) -> str:
-        """The address to listen on for streams."""
+        """Address to listen on for streams."""
         return self.listen_ip or self.ip
 
     @property
     def stream_port(self) -> int:
-        """The port for streams between processes, alike on all machines."""
+        """Port for streams between processes; the same on all machines."""
         return self.port_range[0]
 
 
 def parse_settings(text: str) -> Settings:
-    """Return the settings that a file's text holds.
+    """Decode the text of a settings file.
 
-    :raises SettingsError: if the text is no TOML or a field is wrong
+    :raises SettingsError: if the text is not valid TOML or a field is missing
+        or invalid
     """
     try:
-        plain: typing.Any = tomllib.loads(text)
-        return msgspec.convert(plain, Settings)
+        table: typing.Any = tomllib.loads(text)
+        return msgspec.convert(table, Settings)
     except tomllib.TOMLDecodeError as exc:
-        raise SettingsError(f"the settings file is no TOML: {exc}") from exc
+        raise SettingsError(
+            f"the settings file is not valid TOML: {exc}"
+        ) from exc
     except msgspec.ValidationError as exc:
-        raise SettingsError(f"wrong setting: {exc}") from exc
+        raise SettingsError(f"invalid setting: {exc}") from exc
 
 
 def read_settings() -> Settings:
-    """Return the settings of this process.
+    """Read the settings file of this process.
 
-    :raises SettingsError: if the file can't be read or a field is wrong
+    :raises SettingsError: if the file can't be read or is invalid
     """
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        raise SettingsError(f"set {SETTINGS_VARIABLE} to the settings file")
+        raise SettingsError(
+            f"set {SETTINGS_VARIABLE} to the path of the settings file"
+        )
     try:
         text = pathlib.Path(path).read_text()
     except OSError as exc:
@@ -148,11 +153,11 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the host and port of ``host:port``.
+    """Split ``host:port`` into host and port.
 
-    :raises SettingsError: if it is something else
+    :raises SettingsError: if the address has another form
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise SettingsError(f"{address!r} is no host:port")
+        raise SettingsError(f"{address!r} is not of the form host:port")
     return host, int(port)
--- a/src/ferryledge/platform/_store.py
+++ b/src/ferryledge/platform/_store.py
@@ -11,73 +11,73 @@
 _LENGTH_BYTES = 4
 _OFFSET_BYTES = 8
 _CONNECT_S = 1.0
-#: Seconds for an answer that need not wait for records. With the wait for a
-#: configuration and a new try, one that is written while connections go
-#: silent is in force within 2.8 s.
+#: Timeout in seconds of a call that doesn't wait for records. Short, so that
+#: a retry reads a new configuration in time when a connection hangs.
 _ANSWER_S = 1.5
-#: Two for calls that wait for changes, one to look beside them.
+#: Two for calls that wait for new records, one for other calls.
 _CONNECTIONS = 3
-#: What one read takes at the most, in kB, unless less is asked for.
-_MOST_KB = 1024
+#: Default size limit of a read, in kB.
+_MAX_READ_KB = 1024
 
 
 class StoreError(Exception):
-    """The store did not answer, or refused.
+    """The store did not answer, or refused the call.
 
-    Nothing is known of a call without an answer: it may have been done.
+    A call without an answer may have taken effect.
     """
 
 
 class RecordsGoneError(StoreError):
-    """The records asked for are no longer kept; read the newest ones."""
+    """The requested records are no longer stored; read the newest ones."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a topic that keeps the newest of each key."""
+    """A record of a topic that keeps the newest record of each key."""
 
     key: str
-    #: Empty drops the key.
+    #: An empty value deletes the key.
     value: bytes
-    #: Where it stands in the log.
+    #: Position in the log.
     offset: int = dataclasses.field(default=0, compare=False)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedPage:
-    """Records in the order of the log."""
+    """The records that a read returned."""
 
     records: tuple[KeyedRecord, ...]
-    #: The offset after the last record.
+    #: Offset to read on from.
     next_offset: int
-    #: The offset that was read from.
+    #: Offset that the read started from.
     first_offset: int = 0
-    #: The log's end when this was read.
+    #: End of the log at the time of the read.
     end: int = 0
 
 
-class _Item(msgspec.Struct, frozen=True):
+class _NewestItem(msgspec.Struct, frozen=True):
     key: str = msgspec.field(name="TlsKey")
     value: str = msgspec.field(name="Value")
     offset: int = msgspec.field(name="Offset", default=0)
 
 
-class _Newest(msgspec.Struct, frozen=True):
-    items: tuple[_Item, ...] = ()
+class _NewestPage(msgspec.Struct, frozen=True):
+    items: tuple[_NewestItem, ...] = ()
     more: bool = msgspec.field(name="MorePages", default=False)
     end: int = msgspec.field(name="End", default=0)
 
 
-#: Returns at how many bytes a second an answer of a size is read.
+#: Maps the size of an answer in bytes to the rate at which it is read, in
+#: bytes per second.
 Rate = abc.Callable[[int], float]
 
 
 class StoreClient:
-    """Reads and writes topics by HTTP.
+    """Reads and writes topics over HTTP.
 
     :param address: ``host:port`` of the store
-    :param window_bytes: what may be on its way to this process on one
-        connection; 0 is without limit
+    :param window_bytes: maximum of bytes in flight to this process on one
+        connection; 0 is unlimited
     """
 
     def __init__(self, address: str, window_bytes: int = 0) -> None:
@@ -94,7 +94,7 @@
         )
 
     def move(self, address: str) -> None:
-        """Call another address from now on; calls on their way go on."""
+        """Use another address for new calls; calls in progress continue."""
         if address != self._address:
             self._address = address
             self._caller = self._open()
@@ -112,11 +112,11 @@
     ) -> KeyedPage:
         """Return the newest record of each key.
 
-        :param topic: a topic that keeps them
-        :param partition: of the topic
-        :param after: keys up to this one are left out; empty is none
-        :param rate: how fast the answer is read; none is at once
-        :raises StoreError: if the store did not answer with them
+        :param topic: a topic that keeps the newest record of each key
+        :param partition: number of the topic's partition
+        :param after: return only keys after this one; empty returns all
+        :param rate: limits how fast the answer is read; defaults to no limit
+        :raises StoreError: if the call failed
         """
         records: list[KeyedRecord] = []
         end: int | None = None
@@ -133,8 +133,9 @@
                 for item in page.items
             ]
             if end is None:
-                # Later pages may be of a later log: what was written between
-                # them to a key that has passed is read from here on.
+                # Records may be written between the pages, also to keys of
+                # earlier pages. Reading on from the end that came with the
+                # first page returns them.
                 end = page.end
             if not page.more or not page.items:
                 return KeyedPage(tuple(records), end, 0, end)
@@ -145,18 +146,19 @@
         topic: str,
         offset: int,
         wait_s: float,
-        most_kb: int = _MOST_KB,
+        most_kb: int = _MAX_READ_KB,
         rate: Rate | None = None,
     ) -> KeyedPage:
-        """Return the records from an offset on, once there is one.
+        """Return the records from an offset on, and wait if there are none.
 
         :param topic: a topic that keeps the newest record of each key
-        :param offset: of the first record
-        :param wait_s: seconds to wait for a record
-        :param most_kb: about how much is read; a record is not cut off
-        :param rate: how fast the answer is read; none is at once
-        :raises RecordsGoneError: if the offset is no longer kept
-        :raises StoreError: if the store did not answer with them
+        :param offset: offset of the first record
+        :param wait_s: maximum wait for a record in seconds
+        :param most_kb: approximate size limit in kB; records are not
+            truncated
+        :param rate: limits how fast the answer is read; defaults to no limit
+        :raises RecordsGoneError: if the offset is no longer stored
+        :raises StoreError: if the call failed
         """
         path = (
             f"/log-read?Topic={topic}&part=0&From={offset}"
@@ -176,9 +178,9 @@
         """Append one record.
 
         :param topic: a topic that keeps the newest record of each key
-        :param record: what to append
-        :param partition: of the topic
-        :raises StoreError: if it is not known to be kept
+        :param record: the record to append
+        :param partition: number of the topic's partition
+        :raises StoreError: if the store did not confirm the record
         """
         key = record.key.encode()
         raw = bytes([len(key)]) + key + record.value
@@ -212,27 +214,27 @@
         return response.content
 
 
-def _decode_newest(content: bytes) -> _Newest:
+def _decode_newest(content: bytes) -> _NewestPage:
     try:
-        return msgspec.json.decode(content, type=_Newest)
+        return msgspec.json.decode(content, type=_NewestPage)
     except msgspec.DecodeError as exc:
         raise StoreError(f"unreadable list of records: {exc}") from exc
 
 
 def _decode_records(content: bytes, offset: int) -> abc.Iterator[KeyedRecord]:
-    """Yield the records behind the two offsets that lead an answer.
+    """Yield the records of an answer, which begins with two offsets.
 
-    :param content: the answer; a record that is cut off ends it
-    :param offset: of the first record
+    :param content: body of the answer; a truncated last record is skipped
+    :param offset: offset of the first record
     """
-    at = 2 * _OFFSET_BYTES
-    while at + _LENGTH_BYTES <= len(content):
-        start = at + _LENGTH_BYTES
-        length = int.from_bytes(content[at:start], "big")
+    position = 2 * _OFFSET_BYTES
+    while position + _LENGTH_BYTES <= len(content):
+        start = position + _LENGTH_BYTES
+        length = int.from_bytes(content[position:start], "big")
         raw = content[start : start + length]
         if not raw or len(raw) < length:
             return
-        at = start + length
+        position = start + length
         key_end = 1 + raw[0]
         key = raw[1:key_end].decode(errors="replace")
         yield KeyedRecord(key, raw[key_end:], offset)
--- a/src/ferryledge/platform/standin/__init__.py
+++ b/src/ferryledge/platform/standin/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins that speak the platform's protocol, for tests and the soak."""
+"""Stand-ins for the platform's store, endpoints and clients, for tests."""
 
 from ferryledge.platform.standin import _client
 from ferryledge.platform.standin import _endpoint
--- a/src/ferryledge/platform/standin/_client.py
+++ b/src/ferryledge/platform/standin/_client.py
@@ -9,19 +9,19 @@
 
 
 class ClientState(enum.Enum):
-    """What a client learned of its job."""
+    """The result of a job as its client sees it."""
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
-    #: It was refused: it never runs.
+    #: The job never runs.
     REFUSED = "refused"
-    #: It may have run; the client may send it again.
+    #: The job may have run; the client may submit it again.
     UNKNOWN = "unknown"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """The end of one try."""
+    """The result of one submission."""
 
     state: ClientState
     status: int
@@ -37,16 +37,16 @@
     estimate_ms: int,
     deadline_s: float,
 ) -> ClientAnswer:
-    """Submit a job and wait for its answer.
+    """Submit a job of one step and wait for the answer.
 
-    :param caller: the connection to an entry; it stays open between calls
+    :param caller: calls an entry
     :param queue: the queue's name
     :param job: the client's name for the job
-    :param spec: what the endpoints are to run
+    :param spec: description of the work, passed to the endpoints
     :param count: number of tasks
-    :param cpu_millis: what one of them needs
-    :param estimate_ms: its run time as the client guesses it
-    :param deadline_s: how long the client waits
+    :param cpu_millis: CPU of one task, in thousandths of a core
+    :param estimate_ms: the client's estimate of one task's run time
+    :param deadline_s: seconds that the client waits
     """
     body = {
         "Spec": spec,
--- a/src/ferryledge/platform/standin/_endpoint.py
+++ b/src/ferryledge/platform/standin/_endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in for an endpoint behind the platform's protocol."""
+"""A stand-in for an endpoint that speaks the platform's protocol."""
 
 from collections import abc
 import contextlib
@@ -13,12 +13,12 @@
 from ferryledge import standin
 from ferryledge import wire
 
-#: Seconds between steps of the tasks' progress.
-_STEP_S = 0.01
-_HEARTBEAT_S = 0.5
-_BEAT_TIMEOUT_S = 1.0
+#: Seconds between updates of the running tasks.
+_PROGRESS_INTERVAL_S = 0.01
+_HEARTBEAT_INTERVAL_S = 0.5
+_HEARTBEAT_TIMEOUT_S = 1.0
 
-_STATUS = {
+_START_STATUS = {
     leases.StartResult.STARTED: (200, ""),
     leases.StartResult.FENCED: (409, "fence"),
     leases.StartResult.RUN_NUMBER: (409, "old"),
@@ -27,24 +27,24 @@
 }
 
 
-def _key(task: str, run: int) -> leases.RunKey:
+def _parse_run_key(task: str, run: int) -> leases.RunKey:
     job, _, step, index = task.rsplit(".", 3)
     return leases.RunKey(job, int(step), int(index), run)
 
 
-def _task(key: leases.RunKey) -> str:
+def _task_name(key: leases.RunKey) -> str:
     return f"{key.job}.0.{key.step}.{key.index}"
 
 
 class EndpointServer:
-    """Serves one endpoint and reports to its agent.
-
-    :param service: the service that it runs tasks of
-    :param host: IP number that it listens on
-    :param port: its port
-    :param agent_url: where its heartbeats go
-    :param model: what it does with orders
-    :param rng: decides which orders are lost
+    """Serves a simulated endpoint and sends heartbeats to its agent.
+
+    :param service: name of the service whose tasks the endpoint runs
+    :param host: IP address to listen on
+    :param port: port to listen on
+    :param agent_url: base URL of the agent
+    :param model: the simulated endpoint
+    :param rng: selects the calls that are delayed
     """
 
     def __init__(
@@ -57,31 +57,32 @@
         rng: random.Random,
     ) -> None:
         self.model = model
-        #: Share of the orders that are carried out late, unanswered.
+        #: Share of the calls that are executed late and answered only after
+        #: their timeout.
         self.late_orders = 0.0
-        #: Renewals so far that moved the lease's end.
+        #: Number of accepted renewals that extended the lease.
         self.renewals = 0
         self._service = service
         self._host = host
         self._port = port
         self._caller = net.HttpCaller(agent_url, 1)
         self._rng = rng
-        #: When its agent first answered a heartbeat of the present start
-        #: that said draining, with that start.
-        self._drain_heard: tuple[int, float] | None = None
+        #: Start time of the endpoint, and when the agent first answered a
+        #: heartbeat of this start that reported draining.
+        self._drain_reported: tuple[int, float] | None = None
 
     @property
     def draining_for_s(self) -> float:
-        """Seconds since its agent heard that it drains; 0 if it did not."""
-        if self._drain_heard is None or not self.model.draining:
+        """Seconds since draining was reported to the agent; 0 if it wasn't."""
+        if self._drain_reported is None or not self.model.draining:
             return 0.0
-        born_ms, heard_at = self._drain_heard
+        born_ms, reported_at = self._drain_reported
         if born_ms != self.model.born_ms:
             return 0.0
-        return anyio.current_time() - heard_at
+        return anyio.current_time() - reported_at
 
     async def run(self) -> None:
-        """Serve for ever."""
+        """Serve calls and send heartbeats until cancelled."""
         stop = anyio.Event()
         async with anyio.create_task_group() as group:
             await group.start(
@@ -92,21 +93,21 @@
                 stop,
             )
             group.start_soon(self._progress)
-            group.start_soon(self._report)
+            group.start_soon(self._send_heartbeats)
 
     async def _progress(self) -> None:
         while True:
             self.model.advance(anyio.current_time())
-            await anyio.sleep(_STEP_S)
+            await anyio.sleep(_PROGRESS_INTERVAL_S)
 
-    async def _report(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             if self.model.up:
                 with contextlib.suppress(net.CallError):
-                    await self._beat()
-            await anyio.sleep(_HEARTBEAT_S)
+                    await self._send_heartbeat()
+            await anyio.sleep(_HEARTBEAT_INTERVAL_S)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeat(self) -> None:
         model = self.model
         capacity = model.capacity
         body: dict[str, object] = {
@@ -132,29 +133,29 @@
             "POST",
             f"/instances/{model.endpoint_id}/heartbeat",
             json.dumps(body).encode(),
-            answer_s=_BEAT_TIMEOUT_S,
+            answer_s=_HEARTBEAT_TIMEOUT_S,
         )
         if not draining:
-            self._drain_heard = None
+            self._drain_reported = None
         elif response.status == 200 and not self.draining_for_s:
-            self._drain_heard = (born_ms, anyio.current_time())
+            self._drain_reported = (born_ms, anyio.current_time())
 
     async def handle(self, request: net.Request) -> net.HttpResponse:
-        """Answer a call of the agent."""
+        """Answer a call from the agent."""
         fields = json.loads(await request.body())
         if not self.model.up:
-            await anyio.sleep(_BEAT_TIMEOUT_S)
+            await anyio.sleep(_HEARTBEAT_TIMEOUT_S)
             return net.HttpResponse.json(503, {})
         incarnation = request.header("expect-instance")
         if self._rng.random() < self.late_orders:
             await anyio.sleep(self._rng.uniform(1.0, 4.0))
-            self._carry_out(request.path, fields, incarnation)
-            await anyio.sleep(_BEAT_TIMEOUT_S)
+            self._execute(request.path, fields, incarnation)
+            await anyio.sleep(_HEARTBEAT_TIMEOUT_S)
         if request.path == "/hold":
-            return await self._hold(fields, incarnation)
-        return self._carry_out(request.path, fields, incarnation)
+            return await self._renew(fields, incarnation)
+        return self._execute(request.path, fields, incarnation)
 
-    def _carry_out(
+    def _execute(
         self,
         path: str,
         fields: abc.Mapping[str, typing.Any],
@@ -164,7 +165,7 @@
         clock = {"ClockMs": self.model.clock_ms(now)}
         if path == "/hold":
             return net.HttpResponse.json(200, clock)
-        key = _key(fields["Task"], fields["Run"])
+        key = _parse_run_key(fields["Task"], fields["Run"])
         token = fields["FencingToken"]
         if path == "/run-stop":
             stop = leases.StopRun(key, incarnation, token)
@@ -173,10 +174,10 @@
         start = leases.StartRun(
             key, fields["Spec"], incarnation, fields["DeadlineMs"], token
         )
-        status, reason = _STATUS[self.model.start(now, start)]
+        status, reason = _START_STATUS[self.model.start(now, start)]
         return net.HttpResponse.json(status, {**clock, "Reason": reason})
 
-    async def _hold(
+    async def _renew(
         self, fields: abc.Mapping[str, typing.Any], incarnation: str
     ) -> net.HttpResponse:
         now = anyio.current_time()
@@ -197,23 +198,24 @@
             and not answer.ended
             and anyio.current_time() < wait_until
         ):
-            await anyio.sleep(_STEP_S)
-            quiet = leases.Renewal(
+            await anyio.sleep(_PROGRESS_INTERVAL_S)
+            listing = leases.Renewal(
                 incarnation, 0, renewal.token, renewal.acknowledged, 0
             )
-            if not self._lives_since(born_ms):
-                # Its connections broke with it.
-                await anyio.sleep(_BEAT_TIMEOUT_S)
+            if not self._is_same_start(born_ms):
+                # The endpoint went down during the call, so its caller must
+                # get no answer in time.
+                await anyio.sleep(_HEARTBEAT_TIMEOUT_S)
                 return net.HttpResponse.json(503, {})
-            answer = self.model.renew(anyio.current_time(), now, quiet)
-        return _render(answer)
+            answer = self.model.renew(anyio.current_time(), now, listing)
+        return _render_answer(answer)
 
-    def _lives_since(self, born_ms: int) -> bool:
-        """Return whether this start of the endpoint is still up."""
+    def _is_same_start(self, born_ms: int) -> bool:
+        """Return whether the endpoint is up and has not restarted."""
         return self.model.up and self.model.born_ms == born_ms
 
 
-def _render(
+def _render_answer(
     answer: leases.LeaseRenewed | leases.LeaseNotRenewed,
 ) -> net.HttpResponse:
     match answer:
@@ -224,11 +226,11 @@
                 409, {"ClockMs": clock_ms, "Reason": "fence"}
             )
     running = [
-        [_task(run.key), run.key.run, "", int(run.done * 100), 0]
+        [_task_name(run.key), run.key.run, "", int(run.done * 100), 0]
         for run in answer.running
     ]
     ended = [
-        [end.number, _task(end.key), end.key.run, str(end.how), ""]
+        [end.number, _task_name(end.key), end.key.run, str(end.how), ""]
         for end in answer.ended
     ]
     return net.HttpResponse.json(
@@ -243,6 +245,6 @@
 
 
 def need_of(spec: str) -> wire.Resources:
-    """Return what a task needs, from its job's text."""
-    plain = json.loads(spec)
-    return wire.Resources(plain["cpu"], plain["memory"], 0)
+    """Return the resources of a task from its job's JSON spec."""
+    fields = json.loads(spec)
+    return wire.Resources(fields["cpu"], fields["memory"], 0)
--- a/src/ferryledge/platform/standin/_settings.py
+++ b/src/ferryledge/platform/standin/_settings.py
@@ -1,4 +1,4 @@
-"""Settings files and configurations as the platform writes them."""
+"""Writes settings files and configurations in the platform's format."""
 
 from collections import abc
 import json
@@ -18,12 +18,12 @@
     """Return a settings file.
 
     :param node: the machine's name
-    :param ip: where peers reach it
-    :param listen_ip: where it listens
-    :param port: first of its ports; further ones follow
+    :param ip: IP address at which peers reach the process
+    :param listen_ip: IP address to listen on
+    :param port: first port of the process; the next 12 ports are used too
     :param store: ``host:port`` of the store
-    :param endpoint: ``host:port`` of the endpoint beside it
-    :param zone: its availability zone
+    :param endpoint: ``host:port`` of the agent's endpoint; empty at entries
+    :param zone: availability zone of the machine
     """
     return f"""
 Node = "{node}"
@@ -47,10 +47,10 @@
 
 
 def render_config(version: int, queues: abc.Sequence[str]) -> bytes:
-    """Return a configuration with one queue a name.
+    """Return a configuration with one route per queue.
 
-    :param version: its version
-    :param queues: names, which are also the first part of the paths
+    :param version: version of the configuration
+    :param queues: names of the queues; each is also the path prefix
     """
     routes = [
         {
@@ -69,5 +69,5 @@
 
 
 def cordon_key(zone: str) -> str:
-    """Return the key of the record that cordons a zone while it stands."""
+    """Return the key of the record that cordons a zone."""
     return f"{_config.CORDON_PREFIX}{zone}"
--- a/src/ferryledge/platform/standin/_store.py
+++ b/src/ferryledge/platform/standin/_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's log store, for topics with keys."""
+"""A stand-in for the platform's log store, with keyed topics only."""
 
 import base64
 import collections
@@ -11,7 +11,7 @@
 
 _LENGTH_BYTES = 4
 _OFFSET_BYTES = 8
-#: How long a silent store keeps a call, in seconds.
+#: Seconds by which a silent store delays an answer.
 _SILENCE_S = 30.0
 
 
@@ -22,7 +22,7 @@
     SILENT = "silent"
     BUSY = "busy"
     SLOW = "slow"
-    #: Writes are done and not answered.
+    #: Writes take effect, but are not answered in time.
     LOST = "lost"
 
 
@@ -34,16 +34,16 @@
         self._topics: dict[str, list[tuple[str, bytes]]] = (
             collections.defaultdict(list)
         )
-        self._grown = anyio.Event()
+        self._appended = anyio.Event()
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Append a record, as the operator does; no value drops the key."""
+        """Append a record; an empty value deletes the key."""
         self._topics[topic].append((key, value))
-        self._grown.set()
-        self._grown = anyio.Event()
+        self._appended.set()
+        self._appended = anyio.Event()
 
     async def handle(self, request: net.Request) -> net.HttpResponse:
-        """Answer a call, as the behaviour has it."""
+        """Answer a call according to :attr:`behaviour`."""
         match self.behaviour:
             case StoreBehaviour.SILENT:
                 await anyio.sleep(_SILENCE_S)
@@ -64,8 +64,8 @@
             case "GET", "/log-read":
                 offset = int(request.query("From"))
                 wait_s = int(request.query("WaitMs", "0")) / 1000.0
-                most = 1024 * int(request.query("MaxKb", "1024"))
-                return await self._read(topic, offset, wait_s, most)
+                max_bytes = 1024 * int(request.query("MaxKb", "1024"))
+                return await self._read(topic, offset, wait_s, max_bytes)
             case "POST", "/log-append":
                 return self._append(topic, await request.body())
         return net.HttpResponse.json(404, {})
@@ -91,33 +91,33 @@
         )
 
     async def _read(
-        self, topic: str, offset: int, wait_s: float, most: int
+        self, topic: str, offset: int, wait_s: float, max_bytes: int
     ) -> net.HttpResponse:
         with anyio.move_on_after(wait_s):
             while len(self._topics[topic]) <= offset:
-                await self._grown.wait()
+                await self._appended.wait()
         records = self._topics[topic]
         body = len(records).to_bytes(_OFFSET_BYTES, "big")
         body += (0).to_bytes(_OFFSET_BYTES, "big")
         for key, value in records[offset:]:
-            # One record is given in any case.
-            if most <= 0:
+            # The first record is returned regardless of its size.
+            if max_bytes <= 0:
                 break
-            raw = bytes([len(key)]) + key.encode() + value
-            body += len(raw).to_bytes(_LENGTH_BYTES, "big") + raw
-            most -= len(raw)
+            record = bytes([len(key)]) + key.encode() + value
+            body += len(record).to_bytes(_LENGTH_BYTES, "big") + record
+            max_bytes -= len(record)
         return net.HttpResponse(200, body)
 
     def _append(self, topic: str, body: bytes) -> net.HttpResponse:
         first = len(self._topics[topic])
-        at = 0
-        while at < len(body):
-            start = at + _LENGTH_BYTES
-            length = int.from_bytes(body[at:start], "big")
-            raw = body[start : start + length]
-            at = start + length
-            key_end = 1 + raw[0]
-            self.put(topic, raw[1:key_end].decode(), raw[key_end:])
+        position = 0
+        while position < len(body):
+            start = position + _LENGTH_BYTES
+            length = int.from_bytes(body[position:start], "big")
+            record = body[start : start + length]
+            position = start + length
+            key_end = 1 + record[0]
+            self.put(topic, record[1:key_end].decode(), record[key_end:])
         end = len(self._topics[topic])
         text = json.dumps({"Offset": first, "End": end}).encode()
         return net.HttpResponse(200, text)
--- a/src/ferryledge/platform/tests/test_calls.py
+++ b/src/ferryledge/platform/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the store and to an endpoint, against the stand-ins."""
+"""Calls to stand-ins for the store and an endpoint."""
 
 from collections import abc
 import random
@@ -32,7 +32,7 @@
     anyio.run(main)
 
 
-def test_store_keeps_the_newest_of_each_key() -> None:
+def test_newest_record_of_each_key_is_returned() -> None:
     server = platform_standin.StoreServer()
 
     async def use(port: int) -> None:
@@ -50,7 +50,7 @@
     _serve(server.handle, use)
 
 
-def test_store_that_is_busy_is_an_error() -> None:
+def test_busy_store_is_an_error() -> None:
     server = platform_standin.StoreServer()
     server.behaviour = platform_standin.StoreBehaviour.BUSY
 
@@ -62,7 +62,7 @@
     _serve(server.handle, use)
 
 
-def test_records_that_are_gone_are_told_apart() -> None:
+def test_deleted_records_have_their_own_error() -> None:
     async def gone(request: net.Request) -> net.HttpResponse:
         return net.HttpResponse.json(410, {"First": 9})
 
@@ -74,10 +74,12 @@
     _serve(gone, use)
 
 
-def test_records_with_unreadable_keys_are_read_over() -> None:
+def test_undecodable_key_does_not_hide_later_records() -> None:
     async def answer(request: net.Request) -> net.HttpResponse:
         records = (b"\x02\xff\xfevalue", b"\x01kvalue")
-        framed = [len(one).to_bytes(4, "big") + one for one in records]
+        framed = [
+            len(record).to_bytes(4, "big") + record for record in records
+        ]
         return net.HttpResponse(200, bytes(16) + b"".join(framed))
 
     async def use(port: int) -> None:
@@ -88,7 +90,7 @@
     _serve(answer, use)
 
 
-def test_nobody_listens_at_the_store() -> None:
+def test_unreachable_store_is_an_error() -> None:
     async def main() -> None:
         store = platform.StoreClient("127.0.0.1:9")
         with pytest.raises(platform.StoreError):
@@ -132,7 +134,7 @@
     _serve(server.handle, use)
 
 
-def test_refusals_of_an_order_are_told_apart() -> None:
+def test_refusals_of_an_order_have_different_results() -> None:
     server = _endpoint()
     key = leases.RunKey("j", 0, 0, 1)
 
@@ -144,9 +146,9 @@
             (leases.StartRun(key, "x", "e-1", 1, 7, 0.5), "late"),
             (leases.StartRun(key, "x", "e-1", until, 6, 0.5), "fenced"),
         )
-        for order, word in cases:
+        for order, result in cases:
             answer = await calls.start(order)
-            assert answer.result is leases.StartResult(word)
+            assert answer.result is leases.StartResult(result)
         fenced = await calls.renew(leases.Renewal("e-1", 0, 1, 0, 0))
         assert isinstance(fenced, leases.LeaseNotRenewed)
         assert fenced.fault is leases.CallFault.FENCED
@@ -155,7 +157,7 @@
     _serve(server.handle, use)
 
 
-def test_endpoint_that_is_down_has_started_nothing() -> None:
+def test_unreachable_endpoint_is_down() -> None:
     async def main() -> None:
         calls = platform.EndpointCalls("127.0.0.1:9")
         order = leases.StartRun(
--- a/src/ferryledge/platform/tests/test_border.py
+++ b/src/ferryledge/platform/tests/test_formats.py
@@ -1,4 +1,4 @@
-"""What the platform sends is decoded once, and checked."""
+"""Decoding and validation of settings, configurations, jobs, heartbeats."""
 
 import json
 
@@ -27,7 +27,7 @@
     ).encode()
 
 
-def test_settings_are_read_and_unknown_fields_passed_over() -> None:
+def test_unknown_settings_are_ignored() -> None:
     settings = platform.parse_settings("New = 1\n" + _settings())
     assert settings.node == "n1"
     assert settings.stream_port == 7720
@@ -36,34 +36,34 @@
     assert settings.link_bytes_per_s == float("inf")
 
 
-def test_link_is_read_in_bytes_a_second() -> None:
+def test_link_bandwidth_is_converted_to_bytes_per_second() -> None:
     text = _settings() + "[Limits]\nLinkMbps = 2.0\n"
     assert platform.parse_settings(text).link_bytes_per_s == 250_000.0
 
 
-def test_missing_setting_is_named() -> None:
+def test_error_names_a_missing_setting() -> None:
     with pytest.raises(platform.SettingsError, match="Node"):
         platform.parse_settings(_settings(Node="Other"))
 
 
-def test_wrong_setting_is_named() -> None:
+def test_error_names_an_invalid_setting() -> None:
     text = _settings().replace('Zone = "north"', "Zone = 7")
     with pytest.raises(platform.SettingsError, match=r"\$\.Zone"):
         platform.parse_settings(text)
 
 
-def test_text_that_is_no_toml_is_an_error() -> None:
-    with pytest.raises(platform.SettingsError, match="no TOML"):
+def test_invalid_toml_is_an_error() -> None:
+    with pytest.raises(platform.SettingsError, match="not valid TOML"):
         platform.parse_settings("Node = ")
 
 
 @pytest.mark.parametrize("address", ["", "host", ":80", "host:x"])
-def test_wrong_address_is_an_error(address: str) -> None:
+def test_malformed_address_is_an_error(address: str) -> None:
     with pytest.raises(platform.SettingsError):
         platform.split_address(address)
 
 
-def test_longest_prefix_of_the_host_wins() -> None:
+def test_route_with_the_longest_path_prefix_is_found() -> None:
     routes = [
         {"Name": name, "Hostname": "A.example", "PathPrefix": prefix,
          "Backend": "desk"}
@@ -71,8 +71,8 @@
     ]  # fmt: skip
     text = json.dumps({"Version": 3, "Routes": routes}).encode()
     config = platform.parse_config(text)
-    found = config.find("a.example", "/q/r/7")
-    assert found is not None and found.job_class.name == "long"
+    route = config.find("a.example", "/q/r/7")
+    assert route is not None and route.job_class.name == "long"
     assert config.find("b.example", "/q/7") is None
 
 
@@ -80,16 +80,18 @@
     ("key", "zone"),
     [("evacuate/hall-a", "hall-a"), ("config", None), ("wave/1", None)],
 )
-def test_zone_is_cordoned_by_its_key(key: str, zone: str | None) -> None:
+def test_cordoned_zone_is_read_from_the_key(
+    key: str, zone: str | None
+) -> None:
     assert platform.cordoned_zone(key) == zone
 
 
-def test_unreadable_config_is_an_error() -> None:
+def test_malformed_config_is_an_error() -> None:
     with pytest.raises(platform.ConfigError):
         platform.parse_config(b'{"Version": "x"}')
 
 
-def test_job_is_decoded_with_its_wishes() -> None:
+def test_job_is_decoded_with_placement_options() -> None:
     body = _body(EstimateMs=250, Requires="b", Affinity="r1", AntiAffinity=1)
     job = platform.parse_job("j", body, JOB_CLASS, 2.0)
     (step,) = job.steps
@@ -99,15 +101,15 @@
 
 
 @pytest.mark.parametrize(
-    "wish", ["Gang", "Speculative", "LongRunning", "Fills"]
+    "option", ["Gang", "Speculative", "LongRunning", "Fills"]
 )
-def test_job_that_can_not_be_run_as_described_is_named(wish: str) -> None:
+def test_error_names_an_unsupported_option(option: str) -> None:
     with pytest.raises(platform.UnsupportedJobError) as error:
-        platform.parse_job("j", _body(**{wish: True}), JOB_CLASS, 0.0)
-    assert error.value.field.replace("_", "") == wish.lower()
+        platform.parse_job("j", _body(**{option: True}), JOB_CLASS, 0.0)
+    assert error.value.field.replace("_", "") == option.lower()
 
 
-def test_job_that_must_be_kept_is_not_taken() -> None:
+def test_stored_job_is_not_supported() -> None:
     body = json.dumps({"Spec": "x", "Steps": [{"Count": 1}]}).encode()
     with pytest.raises(platform.UnsupportedJobError, match="BestEffort"):
         platform.parse_job("j", body, JOB_CLASS, 0.0)
@@ -119,7 +121,7 @@
      _body(DependsOn=[0]),
      b'{"Spec": "x", "Steps": [], "BestEffort": true}'],
 )  # fmt: skip
-def test_body_that_is_no_job_is_an_error(body: bytes) -> None:
+def test_malformed_job_is_an_error(body: bytes) -> None:
     with pytest.raises(platform.MalformedJobError):
         platform.parse_job("j", body, JOB_CLASS, 0.0)
 
@@ -127,16 +129,16 @@
 @pytest.mark.parametrize(
     ("text", "seconds"), [("", 0.0), ("1500", 1.5), ("-3", 0.0)]
 )
-def test_deadline_of_a_client(text: str, seconds: float) -> None:
+def test_deadline_header_is_decoded(text: str, seconds: float) -> None:
     assert platform.parse_deadline(text) == seconds
 
 
-def test_deadline_that_is_no_number_is_an_error() -> None:
+def test_deadline_that_is_not_a_number_is_an_error() -> None:
     with pytest.raises(platform.MalformedJobError, match="Deadline-Ms"):
         platform.parse_deadline("soon")
 
 
-def test_refusal_tells_when_to_come_back() -> None:
+def test_refusal_has_a_retry_after_header() -> None:
     origin = outcomes.Origin(outcomes.Step.ADMIT)
     refused = outcomes.Refused(outcomes.Reason.CAPACITY, origin, 2.2)
     response = platform.render_outcome(refused)
@@ -148,7 +150,7 @@
     ("reason", "status"),
     [(outcomes.Reason.TASK_FAILED, 200), (outcomes.Reason.DEADLINE, 504)],
 )
-def test_only_a_job_that_can_not_be_done_is_shown_as_failed(
+def test_only_a_job_with_a_failed_task_is_reported_as_failed(
     reason: outcomes.Reason, status: int
 ) -> None:
     origin = outcomes.Origin(outcomes.Step.RUN)
@@ -158,7 +160,7 @@
     assert response.status == status
 
 
-_BEAT: dict[str, object] = {
+_HEARTBEAT: dict[str, object] = {
     "Backend": "desk", "Address": "a:1", "Zone": "north", "Version": "v1",
     "Slots": 8, "State": "draining", "ColdMs": 0, "RemainingMs": 1500,
     "Capacity": {"Cpu": 16000, "MemMb": 100, "Gpu": 0},
@@ -167,38 +169,42 @@
 _OPTIONAL = ("RemainingMs", "born")
 
 
-def _beat(**changes: object) -> bytes:
-    return json.dumps({**_BEAT, **changes}).encode()
+def _encode_heartbeat(**changes: object) -> bytes:
+    return json.dumps({**_HEARTBEAT, **changes}).encode()
 
 
 def test_heartbeat_is_decoded() -> None:
-    seen = platform.parse_heartbeat("i-1", _beat())
-    assert seen.draining and seen.remaining_s == 1.5
-    assert seen.capacity == wire.Resources(16000, 100, 0)
-    assert (seen.clock_ms, seen.number) == (77, 4)
-    assert seen.incarnation == "i-1@1785154628500"
+    heartbeat = platform.parse_heartbeat("i-1", _encode_heartbeat())
+    assert heartbeat.draining and heartbeat.remaining_s == 1.5
+    assert heartbeat.capacity == wire.Resources(16000, 100, 0)
+    assert (heartbeat.clock_ms, heartbeat.number) == (77, 4)
+    assert heartbeat.incarnation == "i-1@1785154628500"
 
 
-def test_heartbeat_that_does_not_tell_its_start_goes_by_its_id() -> None:
-    beat = {name: _BEAT[name] for name in _BEAT if name not in _OPTIONAL}
-    seen = platform.parse_heartbeat("i-1", json.dumps(beat).encode())
-    assert seen.incarnation == "i-1"
+def test_incarnation_without_a_start_time_is_the_id() -> None:
+    fields = {
+        name: _HEARTBEAT[name] for name in _HEARTBEAT if name not in _OPTIONAL
+    }
+    heartbeat = platform.parse_heartbeat("i-1", json.dumps(fields).encode())
+    assert heartbeat.incarnation == "i-1"
 
 
-@pytest.mark.parametrize("field", [f for f in _BEAT if f not in _OPTIONAL])
-def test_heartbeat_without_a_field_names_no_endpoint(field: str) -> None:
-    beat = {name: _BEAT[name] for name in _BEAT if name != field}
+@pytest.mark.parametrize(
+    "field", [name for name in _HEARTBEAT if name not in _OPTIONAL]
+)
+def test_heartbeat_without_a_required_field_is_an_error(field: str) -> None:
+    fields = {name: _HEARTBEAT[name] for name in _HEARTBEAT if name != field}
     with pytest.raises(platform.HeartbeatError, match=field):
-        platform.parse_heartbeat("i-1", json.dumps(beat).encode())
+        platform.parse_heartbeat("i-1", json.dumps(fields).encode())
 
 
-@pytest.mark.parametrize("field", _BEAT)
+@pytest.mark.parametrize("field", _HEARTBEAT)
 @pytest.mark.parametrize("value", [None, {"x": 1}, True])
-def test_heartbeat_with_a_wrong_type_names_no_endpoint(
+def test_heartbeat_with_a_wrong_type_is_an_error(
     field: str, value: object
 ) -> None:
     with pytest.raises(platform.HeartbeatError):
-        platform.parse_heartbeat("i-1", _beat(**{field: value}))
+        platform.parse_heartbeat("i-1", _encode_heartbeat(**{field: value}))
 
 
 @pytest.mark.parametrize(
@@ -207,15 +213,15 @@
      {"born": "1785154628500"}, {"born": 1.5}, {"Labels": "a"},
      {"Capacity": {"Cpu": 16000}}],
 )  # fmt: skip
-def test_heartbeat_of_another_writer_names_no_endpoint(
+def test_heartbeat_with_an_invalid_value_is_an_error(
     changes: dict[str, object],
 ) -> None:
     with pytest.raises(platform.HeartbeatError):
-        platform.parse_heartbeat("i-1", _beat(**changes))
+        platform.parse_heartbeat("i-1", _encode_heartbeat(**changes))
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b"[]", b"\xff\xfe", b"null"])
-def test_body_that_is_no_heartbeat_is_an_error(body: bytes) -> None:
+def test_malformed_heartbeat_is_an_error(body: bytes) -> None:
     with pytest.raises(platform.HeartbeatError):
         platform.parse_heartbeat("i-1", body)
 
@@ -225,6 +231,6 @@
     [(b'{"born": 1785154628500}', 1_785_154_628_500), (b"{}", 0), (b"", 0),
      (b'{"born": "x"}', 0), (b"\xff", 0)],
 )  # fmt: skip
-def test_last_word_tells_which_start_ends(body: bytes, born_ms: int) -> None:
+def test_deregistration_is_decoded(body: bytes, born_ms: int) -> None:
     left = platform.parse_deregister("i-1", body)
     assert left.incarnation == leases.incarnation_of("i-1", born_ms)
