--- a/src/ferryledge/platform/_endpoint.py
+++ b/src/ferryledge/platform/_endpoint.py
@@ -46,7 +46,7 @@
     #: Rows of sequence number, task, run number, how the run ended and saved
     #: text.
     ended: tuple[tuple[typing.Any, ...], ...] = ()
-    #: Unix time of the endpoint's start in ms.
+    #: Unix time of the endpoint's start in ms; 0 if it isn't reported.
     born: int = msgspec.field(default=0, name="born")
 
 
--- a/src/ferryledge/platform/_jobs.py
+++ b/src/ferryledge/platform/_jobs.py
@@ -91,8 +91,8 @@
         decoded = msgspec.json.decode(body, type=_Body)
     except msgspec.DecodeError as exc:
         raise MalformedJobError("body", str(exc)) from exc
-    _check(decoded)
-    steps = tuple(_step(step) for step in decoded.steps)
+    _check_job(decoded)
+    steps = tuple(_job_step(step) for step in decoded.steps)
     return leases.LeasedJob(name, job_class, decoded.spec, steps, deadline_s)
 
 
@@ -110,7 +110,7 @@
         raise MalformedJobError("Deadline-Ms", f"{value!r}: {exc}") from exc
 
 
-def _check(body: _Body) -> None:
+def _check_job(body: _Body) -> None:
     if not body.best_effort:
         raise UnsupportedJobError(
             "BestEffort", "stored jobs are not supported"
@@ -140,7 +140,7 @@
         raise MalformedJobError("DependsOn", "must name earlier steps only")
 
 
-def _step(step: _Step) -> leases.JobStep:
+def _job_step(step: _Step) -> leases.JobStep:
     return leases.JobStep(
         step.count,
         wire.Resources(step.cpu, step.mem_mb, step.gpu),
--- a/src/ferryledge/platform/_store.py
+++ b/src/ferryledge/platform/_store.py
@@ -83,9 +83,9 @@
     def __init__(self, address: str, window_bytes: int = 0) -> None:
         self._address = address
         self._window_bytes = window_bytes
-        self._caller = self._open()
+        self._caller = self._create_caller()
 
-    def _open(self) -> net.HttpCaller:
+    def _create_caller(self) -> net.HttpCaller:
         return net.HttpCaller(
             f"http://{self._address}",
             _CONNECTIONS,
@@ -97,7 +97,7 @@
         """Use another address for new calls; calls in progress continue."""
         if address != self._address:
             self._address = address
-            self._caller = self._open()
+            self._caller = self._create_caller()
 
     async def close(self) -> None:
         """Close all connections that are not in use."""
