--- a/src/ferryledge/platform/tests/test_formats.py
+++ b/src/ferryledge/platform/tests/test_formats.py
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize(
-    "field", [field for field in _HEARTBEAT if field not in _OPTIONAL]
+    "field", [key for key in _HEARTBEAT if key not in _OPTIONAL]
 )
 def test_heartbeat_without_a_required_field_is_an_error(field: str) -> None:
     fields = {name: _HEARTBEAT[name] for name in _HEARTBEAT if name != field}
