--- a/src/ferryledge/cli/_jobs.py
+++ b/src/ferryledge/cli/_jobs.py
@@ -1,4 +1,4 @@
-"""``ferryledge submit`` and ``ferryledge cancel``."""
+"""Commands ``ferryledge submit`` and ``ferryledge cancel``."""
 
 import dataclasses
 import json
@@ -20,31 +20,40 @@
 
 
 async def _submit(entries: tuple[str, ...], job: client.Job) -> client.Reply:
-    async with client.Client(entries) as caller:
-        return await caller.submit(job)
+    async with client.Client(entries) as job_client:
+        return await job_client.submit(job)
 
 
 async def _cancel(
     entries: tuple[str, ...], workspace: str, request_id: str
 ) -> None:
-    async with client.Client(entries) as caller:
-        await caller.cancel(workspace, request_id)
+    async with client.Client(entries) as job_client:
+        await job_client.cancel(workspace, request_id)
 
 
 @click.command()
 @_options.entry_option
+@click.option(*_options.WORKSPACE, required=True, help="Workspace of the job.")
+@click.option("--service", required=True, help="Service that runs the job.")
 @click.option(
-    *_options.WORKSPACE, required=True, help="The workspace that asks."
+    "--request-id", default="", help="ID of the job, unique in the workspace."
 )
-@click.option("--service", required=True, help="The service to run.")
-@click.option("--request-id", default="", help="Your name for the job.")
 @click.option(
-    "--deadline-ms", default=0.0, help="When the answer is of no use."
+    "--deadline-ms",
+    default=0.0,
+    help="Milliseconds after which the answer is useless; 0 for none.",
 )
-@click.option("--urgency", default=1.0, help="Larger goes earlier.")
-@click.option("--place", "places", multiple=True, help="Where it may run.")
 @click.option(
-    "--unrepeatable", is_flag=True, help="It must not run a second time."
+    "--urgency", default=1.0, help="Jobs of a larger urgency run earlier."
+)
+@click.option(
+    "--place",
+    "places",
+    multiple=True,
+    help="Place where the job may run; may be given repeatedly.",
+)
+@click.option(
+    "--unrepeatable", is_flag=True, help="The job must not run more than once."
 )
 @click.argument("payloads", nargs=-1, required=True)
 def submit(
@@ -58,9 +67,9 @@
     unrepeatable: bool,
     payloads: tuple[str, ...],
 ) -> None:
-    """Run one job and print its answer as JSON.
+    """Run one job and print its reply as JSON.
 
-    Each PAYLOAD is the JSON text of one task. The exit code is 0 if the
+    Each PAYLOAD is the JSON payload of one task. The exit code is 0 if the
     job is complete and 1 otherwise.
 
     \b
@@ -85,14 +94,13 @@
 
 @click.command()
 @_options.entry_option
-@click.option(
-    *_options.WORKSPACE, required=True, help="The workspace that asked."
-)
+@click.option(*_options.WORKSPACE, required=True, help="Workspace of the job.")
 @click.argument("request_id")
 def cancel(entries: tuple[str, ...], workspace: str, request_id: str) -> None:
-    """Cancel a job by its REQUEST_ID, at whichever entry it is.
+    """Cancel the job REQUEST_ID, whichever entry holds it.
 
-    The submission itself gets the outcome, which says whether it ran.
+    The pending submission returns the outcome, which says whether the job
+    ran.
     """
     _options.run(_cancel, entries, workspace, request_id)
     click.echo(f"cancellation of {request_id} sent")
--- a/src/ferryledge/client/__init__.py
+++ b/src/ferryledge/client/__init__.py
@@ -1,4 +1,4 @@
-"""A client that does the sane thing with each outcome."""
+"""Client that submits jobs and retries them where that is safe."""
 
 from ferryledge.client import _client
 from ferryledge.client import _model
--- a/src/ferryledge/client/_client.py
+++ b/src/ferryledge/client/_client.py
@@ -1,11 +1,13 @@
-"""Submits jobs, and retries only what the outcome allows.
+"""Submits jobs and retries them where the outcome allows it.
 
-- ``complete``, and failures that may have run: returned.
-- refused or failed, not run: retried after the told delay.
-- no whole answer: a repeatable job is sent again, perhaps elsewhere; an
-  unrepeatable one is sent again with its ticket, under which it runs once.
+- A job that is complete, or that failed and may have run, is not retried.
+- A job that was refused, is in progress or failed without running is retried
+  if the reply holds a retry delay.
+- A job without a complete reply is sent again, to the next entry. An
+  unrepeatable job is sent again with its ticket, under which it runs at most
+  once.
 
-All retries come out of one budget.
+All jobs of a client share one retry budget.
 """
 
 import collections
@@ -22,38 +24,41 @@
 from ferryledge import runtime
 
 _RETRY_OUTCOMES = frozenset({"refused", "failed_not_run", "in_progress"})
-_LOST_DELAY_S = 0.05
+#: Seconds before a retry if the reply holds no delay.
+_DEFAULT_DELAY_S = 0.05
 _TICKET_LOST = "ticket_lost"
-#: Seconds for which a spare ticket is used; agents keep it much longer.
-_SPARE_LIFE_S = 120.0
-_MAX_SPARES = 64
+#: Seconds for which a spare ticket is usable; agents keep it much longer.
+_SPARE_TICKET_LIFE_S = 120.0
+_MAX_SPARE_TICKETS = 64
 
 
 class UnreachableError(Exception):
-    """No address to send to."""
+    """The client has no entry address to send jobs to."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientOptions:
     """How a client retries."""
 
-    #: Most attempts for one job.
+    #: Maximum number of attempts per job.
     max_attempts: int = 4
-    #: Retries earned by each first attempt.
+    #: Retries that each first attempt adds to the budget.
     retry_ratio: float = 0.1
-    #: Most retries saved up.
+    #: Maximum number of unused retries in the budget.
     retry_burst: float = 10.0
-    #: Seconds after which an attempt without an answer is given up.
+    #: Seconds to wait for the reply to an attempt.
     timeout_s: float = 60.0
-    #: Most connections to one entry.
+    #: Maximum number of connections per entry.
     connections: int = 64
 
 
 class Client:
-    """Talks to the entries at some addresses.
+    """Submits jobs to entries and cancels them.
 
-    :param urls: base addresses of entries, or of the balancer
-    :param options: how to retry
+    :param urls: base URLs of the entries or of a load balancer
+    :param options: retry and connection options; defaults to
+        ``ClientOptions()``
+    :raises UnreachableError: if there is no URL
     """
 
     def __init__(
@@ -62,14 +67,14 @@
         options: ClientOptions | None = None,
     ) -> None:
         if not urls:
-            raise UnreachableError("give at least one entry's address")
+            raise UnreachableError("at least one entry address is required")
         self._options = options or ClientOptions()
         self._callers = [
             runtime.HttpCaller(url, self._options.connections) for url in urls
         ]
-        self._turns = itertools.count()
-        self._spares: collections.deque[tuple[str, float]] = collections.deque(
-            maxlen=_MAX_SPARES
+        self._start_indexes = itertools.count()
+        self._spare_tickets: collections.deque[tuple[str, float]] = (
+            collections.deque(maxlen=_MAX_SPARE_TICKETS)
         )
         self._budget = limits.RetryBudget(
             self._options.retry_ratio, self._options.retry_burst
@@ -87,35 +92,37 @@
             await caller.close()
 
     async def submit(self, job: _model.Job) -> _model.Reply:
-        """Run a job and return what became of it.
+        """Submit a job and wait for its outcome.
 
-        :param job: the job
-        :return: the last reply; ``lost`` means that no whole answer came,
-            so the job may have run
+        :param job: the job to run
+        :return: the reply to the last attempt; the outcome ``lost`` means
+            that no complete reply arrived, and ``ran`` says whether the job
+            may have run
         """
         request_id = job.request_id or secrets.token_hex(8)
-        ticket = "" if job.repeatable else self._take_spare()
-        ticket_used = False
+        ticket = "" if job.repeatable else self._pop_spare()
+        ticket_sent = False
         self._budget.record_attempt()
         attempt = 0
-        for turn in itertools.count(next(self._turns)):
+        for index in itertools.count(next(self._start_indexes)):
             attempt += 1
-            caller = self._caller(turn)
+            caller = self._caller(index)
             reply = await self._attempt(caller, job, request_id, ticket)
             reply = dataclasses.replace(reply, attempts=attempt)
-            self._keep_spare(reply.spare_ticket)
+            self._store_spare(reply.spare_ticket)
             if reply.outcome == "ticket_required":
-                ticket, ticket_used = reply.ticket, False
+                ticket, ticket_sent = reply.ticket, False
                 attempt -= 1
                 continue
-            if reply.reason == _TICKET_LOST and not ticket_used:
-                # Its minter is gone; nothing else was sent under it.
+            if reply.reason == _TICKET_LOST and not ticket_sent:
+                # The agent that issued the ticket is gone. No earlier attempt
+                # used the ticket, so the job can't have run under it.
                 ticket = ""
                 attempt -= 1
                 if self._budget.try_acquire():
                     continue
                 return reply
-            ticket_used = True
+            ticket_sent = True
             if not _may_retry(reply):
                 return reply
             if attempt >= self._options.max_attempts:
@@ -123,37 +130,43 @@
             if not self._budget.try_acquire():
                 return reply
             await anyio.sleep(self._delay(reply))
-        raise AssertionError("turns never end")
+        raise AssertionError("the retry loop always returns")
 
     async def cancel(self, workspace: str, request_id: str) -> None:
-        """Cancel a job; its submission gets the outcome."""
+        """Cancel a job.
+
+        The pending :meth:`submit` returns the outcome.
+
+        :param workspace: the workspace of the job
+        :param request_id: the job's request ID
+        """
         path = f"/v1/jobs/{workspace}/{request_id}"
-        await self._caller(next(self._turns)).call("DELETE", path)
+        await self._caller(next(self._start_indexes)).call("DELETE", path)
 
-    def _take_spare(self) -> str:
+    def _pop_spare(self) -> str:
         now = time.monotonic()
-        while self._spares:
-            ticket, kept_at = self._spares.popleft()
-            if now - kept_at < _SPARE_LIFE_S:
+        while self._spare_tickets:
+            ticket, stored_at = self._spare_tickets.popleft()
+            if now - stored_at < _SPARE_TICKET_LIFE_S:
                 return ticket
         return ""
 
-    def _keep_spare(self, ticket: str) -> None:
+    def _store_spare(self, ticket: str) -> None:
         if ticket:
-            self._spares.append((ticket, time.monotonic()))
+            self._spare_tickets.append((ticket, time.monotonic()))
 
     def _delay(self, reply: _model.Reply) -> float:
         if reply.retry_after_s:
             return reply.retry_after_s
-        return _LOST_DELAY_S * (1.0 + random.random())
+        return _DEFAULT_DELAY_S * (1.0 + random.random())
 
-    def _caller(self, turn: int) -> runtime.HttpCaller:
-        """Return the entry whose turn it is.
+    def _caller(self, index: int) -> runtime.HttpCaller:
+        """Return the caller of one entry, in round-robin order.
 
-        A job's tries go to one entry after the other, so that a dead one is
-        not tried twice before all others were.
+        The attempts of one job use successive indexes, so that every other
+        entry is tried before an unavailable one is tried again.
         """
-        return self._callers[turn % len(self._callers)]
+        return self._callers[index % len(self._callers)]
 
     async def _attempt(
         self,
@@ -174,9 +187,9 @@
 
 
 def _may_retry(reply: _model.Reply) -> bool:
-    """Return whether sending the job again can do no harm."""
+    """Return whether it is safe to send the job again."""
     if reply.outcome == "lost":
-        # An unrepeatable job runs under its ticket alone, so once at most;
-        # without a ticket it was never run.
+        # An unrepeatable job runs at most once under its ticket, and never
+        # without a ticket.
         return True
     return reply.outcome in _RETRY_OUTCOMES and reply.retry_after_s > 0
--- a/src/ferryledge/client/_model.py
+++ b/src/ferryledge/client/_model.py
@@ -1,4 +1,4 @@
-"""Jobs as a client writes them, and replies as it reads them."""
+"""Jobs that a client sends and replies that it receives."""
 
 import dataclasses
 import json
@@ -9,34 +9,38 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Task:
-    """One task."""
+    """Task of a job."""
 
-    #: What the endpoint gets; anything that JSON can hold.
+    #: JSON value that is passed to the endpoint.
     payload: Json
-    #: Expected run time in milliseconds; 0 is unknown.
+    #: Expected run time in milliseconds; 0 if unknown.
     expected_ms: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """Tasks whose results are wanted all together."""
+    """Tasks that are submitted and answered together."""
 
     workspace: str
     service: str
     tasks: tuple[Task, ...]
-    #: Unique within the workspace; empty lets the client name it.
+    #: Unique within the workspace; the client generates one if empty.
     request_id: str = ""
-    #: Milliseconds until the answer is of no use; 0 is never.
+    #: Milliseconds after which the answer is useless; 0 for no deadline.
     deadline_ms: float = 0.0
-    #: Larger goes earlier.
+    #: Jobs of a larger urgency run earlier.
     urgency: float = 1.0
-    #: Names of places; empty is anywhere.
+    #: Names of the places where the job may run; empty for all.
     places: tuple[str, ...] = ()
-    #: Whether the same request may run twice.
+    #: Whether the job may run more than once.
     repeatable: bool = True
 
     def to_json(self, request_id: str, ticket: str) -> bytes:
-        """Return the body of the request."""
+        """Return the body of the HTTP request.
+
+        :param request_id: the job's request ID
+        :param ticket: ticket of an unrepeatable job; may be empty
+        """
         body = dataclasses.asdict(self)
         body["request_id"] = request_id
         body["ticket"] = ticket
@@ -45,37 +49,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What became of a job, as the entry told."""
+    """Outcome of a job as the entry reports it."""
 
-    #: HTTP status; 0 if no entry could be reached.
+    #: HTTP status; 0 if no complete reply arrived.
     status: int
     #: ``complete``, ``refused``, ``failed_not_run``,
     #: ``failed_may_have_run``, ``in_progress``, ``ticket_required``,
-    #: or ``lost`` if no whole answer came.
+    #: ``invalid`` for a rejected request, or ``lost`` if no complete reply
+    #: arrived.
     outcome: str
-    #: ``yes``, ``no`` or ``maybe``.
+    #: Whether the job ran: ``yes``, ``no`` or ``maybe``.
     ran: str
     reason: str = ""
     retry_after_s: float = 0.0
     ticket: str = ""
     entry: str = ""
-    #: A ticket for the next unrepeatable job.
+    #: Ticket that a later unrepeatable job can use; may be empty.
     spare_ticket: str = ""
-    #: The tasks' results, if complete.
+    #: Results of the tasks that have one.
     results: tuple[Json, ...] = ()
-    #: Attempts that were made.
+    #: Number of attempts made.
     attempts: int = 1
 
     @property
     def complete(self) -> bool:
-        """Whether every task ran and every result is here."""
+        """Whether every task ran and returned its result."""
         return self.outcome == "complete"
 
     @classmethod
     def parse(cls, status: int, content: bytes) -> "Reply":
-        """Return the reply that an HTTP answer holds.
+        """Parse an HTTP response.
 
-        :raises ValueError: if it holds none
+        :param status: the HTTP status
+        :param content: the body
+        :raises ValueError: if the body is not JSON
         """
         body = json.loads(content)
         if "outcome" not in body:
--- a/src/ferryledge/client/tests/test_client.py
+++ b/src/ferryledge/client/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The client's retries reach every entry."""
+"""Tests that retries of the client reach every entry."""
 
 import json
 
@@ -7,21 +7,21 @@
 from ferryledge import client
 from ferryledge import net
 
-#: Nobody listens there.
-_DEAD = "http://127.0.0.1:9"
-_JOBS = 40
+#: Address without a listener.
+_UNAVAILABLE_URL = "http://127.0.0.1:9"
+_JOB_COUNT = 40
 
 
 async def _complete(request: net.Request) -> net.HttpResponse:
     await request.body()
-    # Answers come back in an order that is not that of the requests.
+    # Lets replies arrive in another order than the requests.
     await anyio.lowlevel.checkpoint()
     text = json.dumps({"outcome": "complete", "ran": "yes", "tasks": []})
     return net.HttpResponse(200, text.encode())
 
 
-def test_retry_goes_to_another_entry_than_the_one_that_failed() -> None:
-    """With as many attempts as entries, one that lives is reached."""
+def test_retry_uses_another_entry_after_a_failure() -> None:
+    """Attempts of concurrent jobs must not return to an unavailable entry."""
     replies: list[client.Reply] = []
 
     async def main() -> None:
@@ -30,20 +30,20 @@
             port = await group.start(
                 net.serve_http, app, "127.0.0.1", 0, anyio.Event()
             )
-            urls = [_DEAD, f"http://127.0.0.1:{port}"]
+            urls = [_UNAVAILABLE_URL, f"http://127.0.0.1:{port}"]
             options = client.ClientOptions(
                 max_attempts=len(urls), retry_burst=1000.0
             )
-            async with client.Client(urls, options) as caller:
+            async with client.Client(urls, options) as job_client:
                 job = client.Job("shop", "lookup", (client.Task({}),))
 
                 async def submit() -> None:
-                    replies.append(await caller.submit(job))
+                    replies.append(await job_client.submit(job))
 
                 async with anyio.create_task_group() as jobs:
-                    for _ in range(_JOBS):
+                    for _ in range(_JOB_COUNT):
                         jobs.start_soon(submit)
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    assert [one.outcome for one in replies] == ["complete"] * _JOBS
+    assert [reply.outcome for reply in replies] == ["complete"] * _JOB_COUNT
