--- a/src/ferryledge/cli/__init__.py
+++ b/src/ferryledge/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line of operators and clients."""
+"""Command line for operators and clients."""
 
 from ferryledge.cli import _command
 
--- a/src/ferryledge/cli/_command.py
+++ b/src/ferryledge/cli/_command.py
@@ -1,4 +1,4 @@
-"""The command ``ferryledge``: its groups and common options."""
+"""Command ``ferryledge`` with all its subcommands."""
 
 import click
 
@@ -14,10 +14,10 @@
 @click.group()
 @click.version_option(ferryledge.__version__)
 def main() -> None:
-    """Submit jobs to ferryledge, configure it and look into it.
+    """Submit jobs to ferryledge, configure it and inspect it.
 
-    Addresses come from --entry and --platform, or from the variables
-    FERRYLEDGE_ENTRIES and FERRYLEDGE_PLATFORM_URL.
+    Addresses come from --entry and --platform, or from the environment
+    variables FERRYLEDGE_ENTRIES and FERRYLEDGE_PLATFORM_URL.
 
     \b
     First steps:
--- a/src/ferryledge/cli/_config.py
+++ b/src/ferryledge/cli/_config.py
@@ -1,4 +1,4 @@
-"""``ferryledge config``: check, publish, show, history, status."""
+"""Command group ``ferryledge config``."""
 
 from collections import abc
 import dataclasses
@@ -17,7 +17,9 @@
 from ferryledge import configlog
 from ferryledge import runtime
 
+#: Seconds to wait until a published change is in force.
 _PUBLISH_S = 30.0
+#: Seconds between reads of the log.
 _POLL_S = 0.3
 _PATH = click.Path(dir_okay=False, path_type=pathlib.Path)
 
@@ -25,7 +27,7 @@
 async def _read_all(
     client: runtime.PlatformClient,
 ) -> tuple[configlog.Follower, list[configlog.Verdict]]:
-    """Fold the whole log as every entry does."""
+    """Apply all records of the log, as the entries do."""
     follower = configlog.Follower()
     verdicts: list[configlog.Verdict] = []
     while True:
@@ -42,7 +44,7 @@
         return follower.snapshot
     except runtime.PlatformError as exc:
         raise _options.CommandError(
-            f"{exc}; is the platform up? entries go on serving"
+            f"{exc}; check that the platform is up (entries continue to serve)"
         ) from exc
     finally:
         await client.close()
@@ -50,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Publication:
-    """What became of a publication."""
+    """Outcome of a publication."""
 
     accepted: bool
     version: int
@@ -65,10 +67,17 @@
     keep: bool,
     base: int | None = None,
 ) -> Publication:
-    """Append a change and find out what became of it.
+    """Publish entities as one change and wait for its outcome.
 
-    If the append's answer is lost the change is looked for by its id; it
-    is never appended blindly again.
+    If the response to the append is lost, the change is looked up in the log
+    by its ID rather than appended again, since the append may have succeeded.
+
+    :param platform_url: base URL of the platform
+    :param entities: the entities to publish
+    :param author: who publishes
+    :param reason: why, for the audit trail
+    :param keep: whether to keep entities that aren't in ``entities``
+    :param base: version that the change is based on; defaults to the newest
     """
     client = runtime.PlatformClient(platform_url)
     try:
@@ -118,22 +127,25 @@
                     case _:
                         pass
             if not page.records and not follower.lag:
-                found = await _missing(client, follower, change)
-                if found is not None:
-                    return found
+                publication = await _confirm_missing(client, follower, change)
+                if publication is not None:
+                    return publication
     raise _options.CommandError(
-        f"the log has not answered for {_PUBLISH_S:g} s; change "
-        f"{change.id} may still come into force: look with "
-        "'ferryledge config history' before you publish again"
+        f"no outcome after {_PUBLISH_S:g} s; change {change.id} may still "
+        "come into force: check 'ferryledge config history' before you "
+        "publish again"
     )
 
 
-async def _missing(
+async def _confirm_missing(
     client: runtime.PlatformClient,
     follower: configlog.Follower,
     change: configlog.Change,
 ) -> Publication | None:
-    """Conclude that the change is not in the log after a second look."""
+    """Read the log again and report the change as missing.
+
+    :return: none if the log has further records
+    """
     await anyio.sleep(_POLL_S)
     page = await client.read(follower.position, _POLL_S)
     if page.records:
@@ -142,7 +154,7 @@
     return Publication(
         False,
         version,
-        f"the append did not reach the log; publish again (id {change.id})",
+        f"the change is not in the log; publish it again (id {change.id})",
     )
 
 
@@ -154,7 +166,7 @@
 @config.command()
 @click.argument("file", type=_PATH)
 def check(file: pathlib.Path) -> None:
-    """Check FILE and dry-run its policies; changes nothing."""
+    """Check FILE and dry-run its policies without publishing it."""
     entities = _file.load(file)
     click.echo(f"{file}: {len(entities)} entities, all good")
 
@@ -169,7 +181,7 @@
 @click.option(
     "--base",
     type=int,
-    help="Version that you looked at; refused if another is in force.",
+    help="Expected version; the change is refused if another is in force.",
 )
 @click.argument("file", type=_PATH)
 def publish(
@@ -180,41 +192,42 @@
     base: int | None,
     file: pathlib.Path,
 ) -> None:
-    """Make FILE the configuration.
+    """Publish FILE as the configuration.
 
-    The first of two racing operators wins; the other one is told.
+    If two operators publish at the same time, the first change is accepted
+    and the second one is refused.
     """
     entities = _file.load(file)
-    _carry_out(
+    _publish_and_report(
         publish_entities, platform_url, entities, author, reason, keep, base
     )
 
 
-def _carry_out(
+def _publish_and_report(
     change: abc.Callable[..., abc.Awaitable[Publication]],
     *arguments: object,
 ) -> None:
-    """Publish a change and tell what became of it."""
+    """Run a function that publishes and print the outcome."""
     try:
-        done = _options.run(change, *arguments)
+        publication = _options.run(change, *arguments)
     except runtime.PlatformError as exc:
         raise _options.CommandError(str(exc)) from exc
-    if not done.accepted:
-        raise _options.CommandError(f"not accepted: {done.message}")
-    click.echo(f"version {done.version}: {done.message}")
+    if not publication.accepted:
+        raise _options.CommandError(f"not accepted: {publication.message}")
+    click.echo(f"version {publication.version}: {publication.message}")
 
 
 async def _set_cordon(
     platform_url: str, zone: str, author: str, reason: str, cordoned: bool
 ) -> Publication:
-    """Publish the configuration with or without one cordon."""
+    """Publish the configuration with or without the cordon of a zone."""
     snapshot = await _snapshot(platform_url)
     cordon = configlog.Cordon(zone)
-    wanted = tuple(one for one in snapshot.entities if one != cordon)
+    desired = tuple(entity for entity in snapshot.entities if entity != cordon)
     if cordoned:
-        wanted = (*wanted, cordon)
+        desired = (*desired, cordon)
     return await publish_entities(
-        platform_url, wanted, author, reason, False, snapshot.version
+        platform_url, desired, author, reason, False, snapshot.version
     )
 
 
@@ -224,11 +237,11 @@
 @click.option("--reason", required=True, help="Why, for the audit trail.")
 @click.argument("zone")
 def cordon(platform_url: str, author: str, reason: str, zone: str) -> None:
-    """Let availability zone ZONE take no new work.
+    """Cordon availability zone ZONE, so that it gets no new tasks.
 
-    What runs there ends as usual.
+    Running tasks are not affected.
     """
-    _carry_out(_set_cordon, platform_url, zone, author, reason, True)
+    _publish_and_report(_set_cordon, platform_url, zone, author, reason, True)
 
 
 @config.command()
@@ -237,15 +250,15 @@
 @click.option("--reason", required=True, help="Why, for the audit trail.")
 @click.argument("zone")
 def uncordon(platform_url: str, author: str, reason: str, zone: str) -> None:
-    """Let availability zone ZONE take work again."""
-    _carry_out(_set_cordon, platform_url, zone, author, reason, False)
+    """Remove the cordon of availability zone ZONE."""
+    _publish_and_report(_set_cordon, platform_url, zone, author, reason, False)
 
 
 @config.command()
 @_options.platform_option
 @click.option("--out", type=_PATH, help="Write the snapshot to a file.")
 def show(platform_url: str, out: pathlib.Path | None) -> None:
-    """Print the configuration as the log has it, as JSON."""
+    """Print the configuration of the log as JSON."""
     snapshot = _options.run(_snapshot, platform_url)
     text = configlog.encode_snapshot(snapshot).decode()
     if out is None:
@@ -261,8 +274,8 @@
 def history(platform_url: str, as_json: bool) -> None:
     """Print the audit trail: who changed what, when and why.
 
-    It holds the last 256 accepted changes, also those that the log itself
-    has forgotten.
+    It holds the last 256 accepted changes, including those that the log no
+    longer holds.
     """
     snapshot = _options.run(_snapshot, platform_url)
     for entry in snapshot.history:
@@ -271,10 +284,10 @@
             continue
         when = datetime.datetime.fromtimestamp(entry.at, datetime.UTC)
         names = ", ".join(f"{e.kind} {e.name}" for e in entry.after)
-        gone = {(e.kind, e.name) for e in entry.before}
-        gone -= {(e.kind, e.name) for e in entry.after}
-        if gone:
-            names += " without " + ", ".join(f"{k} {n}" for k, n in gone)
+        deleted = {(e.kind, e.name) for e in entry.before}
+        deleted -= {(e.kind, e.name) for e in entry.after}
+        if deleted:
+            names += " without " + ", ".join(f"{k} {n}" for k, n in deleted)
         click.echo(
             f"{entry.version:>6}  {when:%Y-%m-%d %H:%M:%S}  "
             f"{entry.author}: {entry.reason} [{names}] "
@@ -285,7 +298,7 @@
 @config.command("status")
 @_options.entry_option
 def config_status(entries: tuple[str, ...]) -> None:
-    """Print each process's version and lag behind the newest."""
+    """Print each process's version and its lag behind the newest version."""
     reports = _options.run(_status.fetch_all, entries)
     rows = _status.versions(reports)
     newest = max((row.version for row in rows), default=0)
--- a/src/ferryledge/cli/_file.py
+++ b/src/ferryledge/cli/_file.py
@@ -1,4 +1,4 @@
-"""The configuration file that operators write, in TOML."""
+"""Loads the TOML file that holds the configuration."""
 
 import dataclasses
 import pathlib
@@ -21,18 +21,18 @@
 
 
 def _parse_entity(
-    kind: str, number: int, table: typing.Any
+    kind: str, index: int, table: typing.Any
 ) -> configlog.Entity:
-    where = f"{kind} number {number + 1}"
+    location = f"{kind} number {index + 1}"
     if not isinstance(table, dict):
-        raise _options.InputError(f"{where}: write [[{kind}]]")
+        raise _options.InputError(f"{location}: not a table; write [[{kind}]]")
     model = _KINDS[kind]
     fields = {field.name for field in dataclasses.fields(model)} - {"kind"}
     for name in table:
         if configlog.EARLIER_SETTINGS.get(name, name) not in fields:
             known = ", ".join(sorted(fields))
             raise _options.InputError(
-                f"{where}: no setting {name!r}; known: {known}"
+                f"{location}: no setting {name!r}; known settings: {known}"
             )
     adapter: pydantic.TypeAdapter[configlog.Entity] = pydantic.TypeAdapter(
         model
@@ -43,49 +43,52 @@
         first = exc.errors(include_url=False)[0]
         field = ".".join(str(part) for part in first["loc"])
         raise _options.InputError(
-            f"{where}, {field or 'table'}: {first['msg']}"
+            f"{location}, {field or 'table'}: {first['msg']}"
         ) from exc
 
 
 def load(path: pathlib.Path) -> tuple[configlog.Entity, ...]:
-    """Return the entities that a file holds, checked.
+    """Load and check a configuration file.
 
-    :raises CommandError: if the file is wrong, with the place and reason
+    :param path: the TOML file
+    :return: the entities of the file
+    :raises InputError: if the file is invalid; the message says where and
+        why
     """
     try:
         document = tomllib.loads(path.read_text())
     except (OSError, UnicodeError, tomllib.TOMLDecodeError) as exc:
         raise _options.InputError(f"{path}: {exc}") from exc
     entities = []
-    for written, tables in document.items():
-        kind = configlog.EARLIER_KINDS.get(written, written)
+    for section, tables in document.items():
+        kind = configlog.EARLIER_KINDS.get(section, section)
         if kind not in _KINDS or not isinstance(tables, list):
             known = ", ".join(f"[[{name}]]" for name in _KINDS)
             raise _options.InputError(
-                f"{path}: {written!r} is unknown; write {known}"
+                f"{path}: invalid section {section!r}; write {known}"
             )
-        for number, table in enumerate(tables):
-            entities.append(_parse_entity(kind, number, table))
+        for index, table in enumerate(tables):
+            entities.append(_parse_entity(kind, index, table))
     _check(path, tuple(entities))
     return tuple(entities)
 
 
 def _check(path: pathlib.Path, entities: tuple[configlog.Entity, ...]) -> None:
-    seen = set()
+    keys = set()
     for entity in entities:
         key = (entity.kind, entity.name)
-        if key in seen:
+        if key in keys:
             raise _options.InputError(
-                f"{path}: {entity.kind} {entity.name!r} stands twice"
+                f"{path}: {entity.kind} {entity.name!r} is defined twice"
             )
-        seen.add(key)
+        keys.add(key)
     problem = configlog.check_references(entities)
     if problem:
         raise _options.InputError(f"{path}: {problem}")
     for entity in entities:
         if isinstance(entity, configlog.Policy):
-            for found in policy.check(entity):
+            for error in policy.check(entity):
                 raise _options.InputError(
-                    f"{path}: policy {found.policy!r}, {found.program}: "
-                    f"{found.message}"
+                    f"{path}: policy {error.policy!r}, {error.program}: "
+                    f"{error.message}"
                 )
--- a/src/ferryledge/cli/_logs.py
+++ b/src/ferryledge/cli/_logs.py
@@ -1,4 +1,4 @@
-"""Reads the daemons' logs: one request's story, counts of what failed."""
+"""Reads logs of the daemons: lines of one request, counts of failures."""
 
 import collections
 from collections import abc
@@ -8,51 +8,55 @@
 
 import click
 
-#: Keys of a line that are shown apart from what decided it.
-_SHOWN_APART = ("time", "level", "message", "step", "process", "job", "peer")
-#: Characters of a time that name its minute.
-_MINUTE = 16
+#: Keys of a log line that all lines share; other keys are facts.
+_COMMON_KEYS = ("time", "level", "message", "step", "process", "job", "peer")
+#: Length of the prefix of an ISO 8601 time that ends with its minute.
+_MINUTE_LENGTH = 16
 
 File = click.File("r", errors="replace")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a daemon's log."""
+    """Line of a daemon's log."""
 
     time: str
     process: str
     step: str
     message: str
-    #: The request that it concerns; empty if none does.
+    #: Request that the line is about; empty if there is none.
     job: str
     peer: str
-    #: What decided it.
+    #: Values of the other keys.
     facts: abc.Mapping[str, object]
 
     @property
     def is_answer(self) -> bool:
-        """Whether it tells the end of a request."""
+        """Whether the line reports the outcome of a request."""
         return self.step == "answer" and bool(self.job)
 
     @property
     def reason(self) -> str:
-        """Why a request was not completed; empty if it was."""
+        """Why the request was not completed; empty if it was."""
         return str(self.facts.get("reason", ""))
 
     def render(self) -> str:
-        """Return the line for a person."""
-        facts = "  ".join(f"{key}={val}" for key, val in self.facts.items())
+        """Format the line as readable text."""
+        facts = "  ".join(
+            f"{key}={value}" for key, value in self.facts.items()
+        )
         peer = f" ({self.peer})" if self.peer else ""
         head = f"{self.time}  {self.process:<16} {self.step:<8}"
         return f"{head} {self.message}{peer}  {facts}".rstrip()
 
 
 def read_lines(files: abc.Iterable[typing.TextIO]) -> list[LogLine]:
-    """Return the lines of all files in the order of their times.
+    """Return the log lines of all files, sorted by time.
 
-    What stands before a line's JSON is passed over, and so are lines
-    without JSON.
+    Text before the JSON object of a line is ignored, as are lines without a
+    JSON object.
+
+    :param files: open log files
     """
     lines = []
     for file in files:
@@ -68,29 +72,35 @@
     if start < 0:
         return None
     try:
-        plain = json.loads(text[start:])
+        record = json.loads(text[start:])
     except ValueError:
-        return None  # Cut off, or not ours.
-    if not isinstance(plain, dict) or "time" not in plain:
+        return None  # A truncated line, or a line of another program.
+    if not isinstance(record, dict) or "time" not in record:
         return None
-    facts = {k: v for k, v in plain.items() if k not in _SHOWN_APART}
-    fields = [str(plain.get(key, "")) for key in _SHOWN_APART]
+    facts = {k: v for k, v in record.items() if k not in _COMMON_KEYS}
+    fields = [str(record.get(key, "")) for key in _COMMON_KEYS]
     time, _, message, step, process, job, peer = fields
     return LogLine(time, process, step, message, job, peer, facts)
 
 
-def story_of(lines: abc.Iterable[LogLine], job: str) -> list[LogLine]:
-    """Return the lines about one request."""
+def trace_of(lines: abc.Iterable[LogLine], job: str) -> list[LogLine]:
+    """Return the lines about one request.
+
+    :param lines: lines of any requests
+    :param job: the job of the request
+    """
     return [line for line in lines if line.job == job]
 
 
-def is_whole(story: abc.Iterable[LogLine]) -> bool:
-    """Return whether a failed request's story tells how it came to be.
+def is_complete(trace: abc.Iterable[LogLine]) -> bool:
+    """Return whether a trace explains why its request failed.
+
+    The trace must hold the answer with its reason and, if an order was sent
+    for the request, a line of the placement.
 
-    It tells the admission, or that there was none, what happened to the
-    orders if there were any, and the answer with its reason.
+    :param trace: lines of one failed request
     """
-    lines = list(story)
+    lines = list(trace)
     steps = {line.step for line in lines}
     answers = [line for line in lines if line.is_answer]
     if not answers or not answers[-1].reason:
@@ -101,14 +111,17 @@
 
 
 def failed_jobs(lines: abc.Iterable[LogLine]) -> dict[str, LogLine]:
-    """Return the last answers of requests that were not completed."""
+    """Return the last answer of each failed request, by job.
+
+    :param lines: lines of any requests
+    """
     last = {line.job: line for line in lines if line.is_answer}
     return {job: line for job, line in last.items() if line.reason}
 
 
 @click.group()
 def logs() -> None:
-    """Look into the daemons' logs (JSON lines, any number of processes)."""
+    """Inspect logs of the daemons (JSON lines of any number of processes)."""
 
 
 @logs.command()
@@ -123,23 +136,26 @@
     failed = failed_jobs(lines)
     click.echo(f"{len(answers)} answers, {len(failed)} not complete")
     counts = collections.Counter(
-        (line.time[:_MINUTE], line.message, line.reason)
+        (line.time[:_MINUTE_LENGTH], line.message, line.reason)
         for line in failed.values()
     )
     for (minute, message, reason), count in sorted(counts.items()):
         click.echo(f"{minute}  {count:6}  {reason:<18} {message}")
-    left_out = sum(
+    omitted = sum(
         int(str(line.facts.get("count", 0)))
         for line in lines
         if line.message == "lines left out by the budget"
     )
-    click.echo(f"{left_out} lines left out by the budget")
+    click.echo(f"{omitted} lines left out by the budget")
 
 
 @logs.command()
 @click.argument("files", nargs=-1, type=File, required=True)
 def coverage(files: tuple[typing.TextIO, ...]) -> None:
-    """Count the failed requests whose story is told as a whole.
+    """Count the failed requests whose log lines are complete.
+
+    The lines are complete if they hold the answer with its reason and, if an
+    order was sent, a line of the placement.
 
     Example: ferryledge logs coverage front-*.log side-*.log
     """
@@ -149,8 +165,10 @@
         if line.job:
             by_job[line.job].append(line)
     failed = failed_jobs(lines)
-    whole = [job for job in failed if is_whole(by_job[job])]
-    share = 100.0 * len(whole) / len(failed) if failed else 100.0
-    click.echo(f"{len(whole)} of {len(failed)} stories whole: {share:.1f}%")
-    for job in sorted(set(failed) - set(whole)):
+    complete_jobs = [job for job in failed if is_complete(by_job[job])]
+    share = 100.0 * len(complete_jobs) / len(failed) if failed else 100.0
+    click.echo(
+        f"{len(complete_jobs)} of {len(failed)} stories whole: {share:.1f}%"
+    )
+    for job in sorted(set(failed) - set(complete_jobs)):
         click.echo(f"not whole: {job}")
--- a/src/ferryledge/cli/_options.py
+++ b/src/ferryledge/cli/_options.py
@@ -1,4 +1,4 @@
-"""Options and errors that the commands share."""
+"""Options and errors shared by the commands."""
 
 from collections import abc
 import typing
@@ -6,22 +6,22 @@
 import anyio
 import click
 
-#: Exit code when a request was refused or failed.
+#: Exit code of a command that failed or whose job was not completed.
 EXIT_FAILED = 1
-#: The option that names a workspace; the second one is its earlier name.
+#: Names of the workspace option; ``--team`` is its earlier name.
 WORKSPACE = ("--workspace", "--team", "workspace")
 
 ResultT = typing.TypeVar("ResultT")
 
 
 class CommandError(click.ClickException):
-    """Something went wrong that the operator can act on."""
+    """A command failed; the message says what the operator can do."""
 
     exit_code = EXIT_FAILED
 
 
 class InputError(CommandError):
-    """What the operator gave is wrong."""
+    """An argument or a file of the operator is invalid."""
 
     exit_code = 2
 
@@ -35,7 +35,7 @@
         show_envvar=True,
         required=required,
         metavar="URL",
-        help="Address of an entry or the balancer; may be given repeatedly.",
+        help="Address of an entry or load balancer; may be given repeatedly.",
     )
 
 
@@ -55,5 +55,9 @@
 def run(
     function: abc.Callable[..., abc.Awaitable[ResultT]], *args: object
 ) -> ResultT:
-    """Run an asynchronous function to its end."""
+    """Run an asynchronous function and return its result.
+
+    :param function: the function to run
+    :param args: its arguments
+    """
     return anyio.run(function, *args)
--- a/src/ferryledge/cli/_status.py
+++ b/src/ferryledge/cli/_status.py
@@ -1,4 +1,4 @@
-"""``ferryledge status``: what the processes tell of themselves."""
+"""Command ``ferryledge status``: the state that processes report."""
 
 import dataclasses
 import json
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProcessVersion:
-    """One process's version of the configuration."""
+    """Version of the configuration that a process has."""
 
     role: str
     name: str
@@ -23,14 +23,17 @@
 
 
 def _zone(row: typing.Any) -> str:
-    """Return where a process runs; an earlier version calls it hall."""
+    """Return the zone of a process; older versions report it as hall."""
     return str(row["zone"] if "zone" in row else row["hall"])
 
 
 async def fetch(url: str, path: str) -> typing.Any:
-    """Return the JSON text at an address.
+    """Fetch a JSON document from a process.
 
-    :raises CommandError: if there is no answer
+    :param url: base URL of the process
+    :param path: path of the document
+    :return: the decoded document
+    :raises CommandError: if the process does not respond
     """
     try:
         async with httpcore.AsyncConnectionPool() as pool:
@@ -50,28 +53,43 @@
 
 
 async def fetch_all(entries: tuple[str, ...]) -> list[typing.Any]:
-    """Return the status of each entry."""
+    """Fetch the status of each entry.
+
+    :param entries: base URLs of the entries
+    """
     return [await fetch(url, "/v1/status") for url in entries]
 
 
 def versions(reports: list[typing.Any]) -> list[ProcessVersion]:
-    """Return each process's newest known version."""
-    found: dict[str, ProcessVersion] = {}
-    rows = [*reports, *(peer for one in reports for peer in one["peers"])]
+    """Return the newest known version of each process.
+
+    Several reports may hold the same process, since entries also report
+    their peers.
+
+    :param reports: status of each entry
+    :return: versions sorted by role and name
+    """
+    newest: dict[str, ProcessVersion] = {}
+    rows = [
+        *reports,
+        *(peer for report in reports for peer in report["peers"]),
+    ]
     for row in rows:
-        known = found.get(row["name"])
+        known = newest.get(row["name"])
         if known is None or known.version < row["config_version"]:
-            found[row["name"]] = ProcessVersion(
+            newest[row["name"]] = ProcessVersion(
                 row["role"], row["name"], _zone(row), row["config_version"]
             )
-    return sorted(found.values(), key=lambda one: (one.role, one.name))
+    return sorted(
+        newest.values(), key=lambda process: (process.role, process.name)
+    )
 
 
 @click.command()
 @_options.entry_option
 @click.option("--json", "as_json", is_flag=True, help="Print JSON lines.")
 def status(entries: tuple[str, ...], as_json: bool) -> None:
-    """Print what the entries see: jobs, queues, endpoints, peers."""
+    """Print the status of each entry: jobs, queues, endpoints and peers."""
     for report in _options.run(fetch_all, entries):
         if as_json:
             click.echo(json.dumps(report))
@@ -89,11 +107,13 @@
         f"{report['tasks_waiting']} tasks waiting"
     )
     for row in report["endpoints"]:
-        marks = [
-            mark for mark in ("leaving", "doubted", "ejected") if row[mark]
+        markers = [
+            marker
+            for marker in ("leaving", "doubted", "ejected")
+            if row[marker]
         ]
         click.echo(
             f"  {row['name']:<20} {_zone(row):<12} "
             f"{row['bound']:>3} of {row['slots']} slots  "
-            f"slowness {row['slowness']:.2f}  {' '.join(marks)}"
+            f"slowness {row['slowness']:.2f}  {' '.join(markers)}"
         )
