--- a/src/ferryledge/cli/_config.py
+++ b/src/ferryledge/cli/_config.py
@@ -19,7 +19,7 @@
 
 #: Seconds to wait until a published change is in force.
 _PUBLISH_S = 30.0
-#: Seconds between reads of the log.
+#: Seconds that a read of the log waits for records, and between retries.
 _POLL_S = 0.3
 _PATH = click.Path(dir_okay=False, path_type=pathlib.Path)
 
--- a/src/ferryledge/cli/_options.py
+++ b/src/ferryledge/cli/_options.py
@@ -15,7 +15,7 @@
 
 
 class CommandError(click.ClickException):
-    """A command failed; the message says what the operator can do."""
+    """A command failed for a reason that the operator can act on."""
 
     exit_code = EXIT_FAILED
 
--- a/src/ferryledge/cli/_profile.py
+++ b/src/ferryledge/cli/_profile.py
@@ -34,9 +34,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """Outcomes of the requests of one queue in ``WINDOW_S`` seconds."""
+    """Outcomes of one queue's requests that were answered in one window."""
 
-    #: Start of the window.
+    #: Start of the window, which lasts ``WINDOW_S`` seconds.
     at: datetime.datetime
     queue: str
     #: Number of requests by outcome.
@@ -74,7 +74,7 @@
 
     @property
     def queues(self) -> list[str]:
-        """Sorted names of the queues that durations are known for."""
+        """Names of the queues with known durations, sorted."""
         return sorted({queue for queue, _ in self.durations})
 
     def quantile(
--- a/src/ferryledge/client/_client.py
+++ b/src/ferryledge/client/_client.py
@@ -6,6 +6,8 @@
 - A job without a complete reply is sent again, to the next entry. An
   unrepeatable job is sent again with its ticket, under which it runs at most
   once.
+- An unrepeatable job that was sent without a ticket is sent again with the
+  ticket in the reply, which doesn't count as an attempt.
 
 All jobs of a client share one retry budget.
 """
@@ -38,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientOptions:
-    """How a client retries."""
+    """Retry and connection options of a client."""
 
     #: Maximum number of attempts per job.
     max_attempts: int = 4
@@ -161,7 +163,7 @@
         return _DEFAULT_DELAY_S * (1.0 + random.random())
 
     def _caller(self, index: int) -> runtime.HttpCaller:
-        """Return the caller of one entry, in round-robin order.
+        """Return the HTTP caller of one entry, in round-robin order.
 
         The attempts of one job use successive indexes, so that every other
         entry is tried before an unavailable one is tried again.
