--- a/src/ferryledge/leases/_admission.py
+++ b/src/ferryledge/leases/_admission.py
@@ -1,4 +1,8 @@
-"""Refuses jobs that would only wait, while the refusal is still cheap."""
+"""Admission control of an entry.
+
+Jobs that can't be served usefully are refused early, so that their clients
+can turn to other entries.
+"""
 
 from collections import abc
 import math
@@ -15,24 +19,24 @@
 from ferryledge import limits
 from ferryledge import outcomes
 
-#: Share of the objective within which a refusal counts as prompt.
+#: Share of the objective for which a job waits before it may be refused.
 _PROMPT_SHARE = 0.25
-#: Share of the client's time after which an untried job is given up.
-_UNTRIED_SHARE = 0.4
-#: Base and longest delay in seconds that a refused client is told.
+#: Share of the client's deadline after which a job without orders is refused.
+_UNDISPATCHED_SHARE = 0.4
+#: Base and maximum of the retry delay in seconds for a refused client.
 _RETRY_S = 0.5
 _LONGEST_RETRY_S = 5.0
 
 
 class Admission:
-    """Decides which jobs an entry keeps.
-
-    :param name: this entry
-    :param pool: the agents
-    :param share: what this entry gets of their room
-    :param link: this entry's own
-    :param rng: spreads the delays that clients are told
-    :param rules: those that hold
+    """Decides which jobs an entry admits and which waiting jobs it refuses.
+
+    :param name: name of this entry
+    :param pool: the known agents
+    :param share: this entry's share of the pool's capacity
+    :param link: network link of this entry
+    :param rng: adds jitter to retry delays
+    :param rules: the rules in force
     """
 
     def __init__(
@@ -50,42 +54,43 @@
         self._share = share
         self._link = link
         self._rng = rng
-        #: What refused callers were told.
+        #: Retry times of refused clients.
         self.returns = _returns.Returns(rng)
         self._ends_at = float("inf")
 
     def close(self, ends_at: float) -> None:
-        """Take only jobs that end before this entry does.
+        """Admit only jobs that are expected to end before this entry does.
 
-        :param ends_at: when that is, in monotonic seconds
+        :param ends_at: end of this entry, in monotonic seconds
         """
         self._ends_at = ends_at
 
     def admit(
-        self, now: float, job: _jobs.Job, hope: bool
+        self, now: float, job: _jobs.Job, may_find_agents: bool
     ) -> outcomes.Refused | None:
-        """Return a refusal for a new job, or none.
+        """Return a refusal for a new job, or ``None``.
 
         :param now: monotonic seconds
-        :param job: the job
-        :param hope: whether endpoints may come soon that fit where none does
+        :param job: the new job
+        :param may_find_agents: whether agents that fit the job may connect
+            soon
         """
         if now + job.expected_s * _timing.RUN_MARGIN > self._ends_at:
             return self._refuse(
                 outcomes.Reason.DRAINING, "this entry ends before the job"
             )
-        if self._pool.all_cordoned and not hope:
+        if self._pool.all_cordoned and not may_find_agents:
             return self._refuse(
                 outcomes.Reason.CAPACITY,
                 "every availability zone in reach is cordoned",
             )
         service = job.request.job_class.service
-        if hope or not self._pool.capacity_cores(now, service):
+        if may_find_agents or not self._pool.capacity_cores(now, service):
             return None
         return self._unfit(job)
 
     def _unfit(self, job: _jobs.Job) -> outcomes.Refused | None:
-        """Return a refusal if some step fits nowhere."""
+        """Return a refusal if some step fits no endpoint, else ``None``."""
         if not _placing.is_unfit(self._pool, job):
             return None
         return self._refuse(
@@ -96,20 +101,20 @@
     def review(
         self, now: float, job: _jobs.Job, ahead: float
     ) -> outcomes.Refused | None:
-        """Return a refusal for a job that nothing was ordered for yet.
+        """Return a refusal for a job without orders, or ``None``.
 
-        One that would only be late is refused: started after all, it would
-        make a later one late in its turn, and its client can come back now.
+        A job that would miss its objective is refused: started late, it would
+        delay the jobs behind it as well.
 
         :param now: monotonic seconds
-        :param job: the job
-        :param ahead: core-seconds that get room before it
+        :param job: a job whose answer is useless after its objective
+        :param ahead: core-seconds of the work that starts before it
         """
-        waited = now - job.arrived_at
+        waited_s = now - job.arrived_at
         deadline_s = job.request.deadline_s or job.objective_s * 4.0
-        if waited > _UNTRIED_SHARE * deadline_s:
+        if waited_s > _UNDISPATCHED_SHARE * deadline_s:
             return self._refuse(outcomes.Reason.CAPACITY, "waited too long")
-        if waited < _PROMPT_SHARE * job.objective_s:
+        if waited_s < _PROMPT_SHARE * job.objective_s:
             return None
         if self._pool.may_recover(now):
             return None
@@ -132,20 +137,22 @@
         job: _jobs.Job,
         room_in: abc.Callable[[float], float],
     ) -> outcomes.Refused | None:
-        """Return a refusal for a job whose answer is forecast to be of no use.
+        """Return a refusal for a job whose forecast answer is useless.
+
+        Returns ``None`` while agents that could still serve it may come back.
 
         :param now: monotonic seconds
-        :param job: a job that may be late and for which nothing was ordered
-        :param room_in: tells in how many seconds so much work has got room,
-            beside what waits already
+        :param job: a job without orders that may be answered late
+        :param room_in: returns the delay in seconds of additional
+            core-seconds of work behind all waiting work
         """
         if self._pool.may_recover(now) and now < job.need.last_start:
             return None
         unfit = self._unfit(job)
         if unfit is not None:
             return unfit
-        told = job.forecast
-        answer_s = told.answer_in_s if told is not None else math.inf
+        forecast = job.forecast
+        answer_s = forecast.answer_in_s if forecast is not None else math.inf
         detail = (
             f"an answer is forecast in {answer_s:.2f} s, and of use for "
             f"{max(0.0, job.useful_until - now):.2f} s"
@@ -158,7 +165,7 @@
         return outcomes.Refused(reason, origin, delay_s, detail)
 
     def _wait_s(self, now: float, job: _jobs.Job, ahead: float) -> float:
-        """Return how long it takes until the last task of a job has room."""
+        """Return the seconds until the last task of a job starts."""
         service = job.request.job_class.service
         pool_cores = self._pool.capacity_cores(now, service)
         if not pool_cores:
@@ -167,10 +174,10 @@
         cores = self._share.cores(now, pool_cores, sharers)
         return (ahead + job.work) / cores + self._link.wait_s(now)
 
-    def give_up(
+    def deadline_outcome(
         self, job: _jobs.Job
     ) -> outcomes.Refused | outcomes.FailedMayHaveRun:
-        """Return the answer to a job whose client's time is over."""
+        """Return the answer to a job whose deadline has passed."""
         if job.offered_at is None:
             return self._refuse(outcomes.Reason.DEADLINE, "")
         origin = outcomes.Origin(outcomes.Step.ANSWER, self._name)
--- a/src/ferryledge/leases/_arrivals.py
+++ b/src/ferryledge/leases/_arrivals.py
@@ -1,28 +1,26 @@
-"""How much work comes to an entry, and how much is likely to come next.
+"""Estimates how much work arrives at an entry and is about to arrive.
 
-It answers a load that rides a wave or bursts: what waits now says nothing of
-what comes before it has room. The rate of the last second is taken to drift
-back to that of the last ten: a crest passes, and an overload that lasts
-raises both.
+The arrival rate of the last second is expected to decay to the average of the
+last ten seconds. So a short peak is expected to pass, while a lasting overload
+raises both rates.
 """
 
 import dataclasses
 import math
 
-#: Seconds over which the present rate is averaged: some tens of jobs.
+#: Seconds over which the recent rate is averaged.
 _LATELY_S = 1.0
-#: Seconds over which the usual rate is averaged: longer than a burst, and
-#: about as long as a crest.
+#: Seconds over which the usual rate is averaged; longer than a burst.
 _USUALLY_S = 10.0
-#: Seconds in which the present rate drifts back to the usual one by 0.63.
+#: Time constant of the decay from the recent to the usual rate, in seconds.
 _DRIFT_S = 3.0
-#: Weight of the newest job in the work and slack of a queue's jobs.
+#: Weight of the newest job in the averages of work and slack.
 _DECAY = 0.05
 
 
 @dataclasses.dataclass(slots=True)
 class _Rate:
-    """Events a second, averaged over a span."""
+    """Exponentially weighted rate of events per second."""
 
     span_s: float
     began_at: float
@@ -35,73 +33,78 @@
         self.at = now
 
     def value(self, now: float) -> float:
-        """Return the rate, as far as the time since the first event shows."""
+        """Return the rate per second.
+
+        It is corrected for the time before the first event, which the
+        average does not cover.
+        """
         count = self.count * math.exp((self.at - now) / self.span_s)
-        seen = 1.0 - math.exp((self.began_at - now) / self.span_s)
-        return count / self.span_s / max(seen, _LATELY_S / self.span_s)
+        coverage = 1.0 - math.exp((self.began_at - now) / self.span_s)
+        return count / self.span_s / max(coverage, _LATELY_S / self.span_s)
 
 
 @dataclasses.dataclass(slots=True)
 class _Queue:
-    """The jobs of one class."""
+    """Arrivals of one queue."""
 
     service: str
     lately: _Rate
     usually: _Rate
-    #: Core-seconds of a job, and seconds that it may wait, on average.
+    #: Average core-seconds of a job, and average seconds that it may wait.
     work: float
     slack_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueFlow:
-    """The work that comes to one queue."""
+    """Work that arrives at one queue."""
 
     queue: str
-    #: Cores that it would keep at work, lately and usually.
+    #: Cores that the arriving work keeps busy, at the recent and usual rate.
     lately: float
     usually: float
-    #: Seconds that its jobs may wait, on average.
+    #: Average seconds that a job may wait.
     slack_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Inflow:
-    """The work that comes to one service, at one moment."""
+    """Work that arrives for one service, at one point in time."""
 
     queues: tuple[QueueFlow, ...] = ()
-    #: Cores that all of it would keep at work, lately and usually.
+    #: Cores that all queues keep busy, at the recent and usual rates.
     lately: float = dataclasses.field(init=False)
     usually: float = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
-        lately = sum(one.lately for one in self.queues)
-        usually = sum(one.usually for one in self.queues)
+        lately = sum(queue.lately for queue in self.queues)
+        usually = sum(queue.usually for queue in self.queues)
         object.__setattr__(self, "lately", lately)
         object.__setattr__(self, "usually", usually)
 
     def cores(self, in_s: float) -> float:
-        """Return the cores that what comes then would keep at work.
+        """Return the cores that work arriving at a later time keeps busy.
 
         :param in_s: seconds from now
         """
-        drift = math.exp(-in_s / _DRIFT_S)
-        return self.usually + (self.lately - self.usually) * drift
+        decay = math.exp(-in_s / _DRIFT_S)
+        return self.usually + (self.lately - self.usually) * decay
 
-    def ahead(self, wait_s: float) -> float:
-        """Return the core-seconds to come that go ahead of a job.
+    def overtaking_work(self, wait_s: float) -> float:
+        """Return the core-seconds of future arrivals that overtake a job.
 
-        A job that comes later goes ahead if it may wait for less.
+        A later job overtakes it if its latest start is earlier.
 
-        :param wait_s: seconds until that job's latest start
+        :param wait_s: seconds until the job's latest start
         """
         return sum(
-            one.lately * max(0.0, wait_s - one.slack_s) for one in self.queues
+            queue.lately * max(0.0, wait_s - queue.slack_s)
+            for queue in self.queues
         )
 
 
 class Arrivals:
-    """Learns what comes to each queue and is not put back."""
+    """Tracks the arrivals at each queue, except for deferred jobs."""
 
     def __init__(self) -> None:
         self._queues: dict[str, _Queue] = {}
@@ -109,13 +112,13 @@
     def note(
         self, now: float, name: str, service: str, work: float, slack_s: float
     ) -> None:
-        """Take in that a job came.
+        """Record the arrival of a job.
 
         :param now: monotonic seconds
-        :param name: its class
-        :param service: that runs its tasks
-        :param work: core-seconds that it is expected to take
-        :param slack_s: seconds until its latest start
+        :param name: queue of the job
+        :param service: service that runs the tasks
+        :param work: expected core-seconds of the job
+        :param slack_s: seconds until the job's latest start
         """
         queue = self._queues.get(name)
         if queue is None:
@@ -129,11 +132,11 @@
         queue.usually.note(now, 1.0)
 
     def move(self, now: float, name: str, count: float) -> None:
-        """Take in that jobs go ahead of those that are late, or no longer do.
+        """Adjust the arrivals for jobs that were deferred or restored.
 
         :param now: monotonic seconds
-        :param name: their class
-        :param count: how many; negative if they were put back
+        :param name: queue of the jobs
+        :param count: number of jobs; negative if they were deferred
         """
         queue = self._queues.get(name)
         if queue is not None:
@@ -141,7 +144,7 @@
             queue.usually.note(now, count)
 
     def inflow(self, now: float, service: str) -> Inflow:
-        """Return what comes to a service."""
+        """Return the work that arrives for a service."""
         return Inflow(
             tuple(
                 QueueFlow(
--- a/src/ferryledge/leases/_entry.py
+++ b/src/ferryledge/leases/_entry.py
@@ -1,8 +1,9 @@
-"""An entry's decisions on leased tasks.
+"""The decision core of an entry: admits jobs, orders their runs, answers.
 
-The entry that took a job orders all its runs, at the agents, and answers
-once. A task is ordered again only after its run is known to be over: by its
-agent's word, or because nothing can have renewed it any longer.
+The entry that admitted a job orders all runs of its tasks from the agents and
+answers the client once. A task is ordered again only after its previous run
+is known to be over: its agent reported so, or the lease of the run has
+expired.
 """
 
 import math
@@ -35,34 +36,38 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Seconds between looks at jobs that nothing was ordered for.
+#: Seconds between reviews of jobs that no run was ordered for.
 _REVIEW_S = 0.02
-#: Seconds between looks at silence and deadlines.
+#: Seconds between checks for silent peers and passed deadlines.
 _SWEEP_S = 0.1
-#: A sweep that comes later than this shows that the process was paused.
+#: Delay of a sweep in seconds beyond which the process counts as paused.
 _PAUSE_S = 0.3
-#: Seconds before the client's deadline at which a job is given up.
-_GIVE_UP_S = 0.05
-#: Seconds within which an ask is answered: those of several agents, and an
-#: order that answers by the way, share a tick. Shorter than the handshake
-#: that an agent begins where an answer is overdue.
+#: Seconds before the client's deadline at which an unfinished job is answered.
+_DEADLINE_MARGIN_S = 0.05
+#: Seconds within which a lease request is answered. The delay lets answers to
+#: several agents, and orders that carry a grant, share a tick. It is shorter
+#: than the handshake that an agent starts when an answer is overdue.
 _ANSWER_WITHIN_S = 0.002
 _NEVER = float("inf")
 
 
 class LeaseEntry:
-    """Takes jobs, orders their runs, answers.
+    """Admits jobs, orders their runs and answers their clients.
 
-    :param name: this process
-    :param incarnation: this start of the process
-    :param zone: its availability zone
+    Performs no I/O: :meth:`receive` takes events, :meth:`tick` returns the
+    actions that are due.
+
+    :param name: name of this entry
+    :param incarnation: identifies this start of the process
+    :param zone: availability zone of this entry
     :param rng: source of all randomness
-    :param timing: the lease rule
-    :param far_factor: how many times as long a task takes away from its data
-    :param meter: counts its decisions; none is nowhere
-    :param link_bytes_per_s: what the link of its machine carries; infinite
-        if that is unknown
-    :param rules: those that it decides by
+    :param timing: timing of leases; defaults to the standard timing
+    :param far_factor: run time of a task away from its data, as a multiple
+        of its run time near the data
+    :param meter: counts decisions; defaults to one that counts nothing
+    :param link_bytes_per_s: bandwidth of the machine's network link;
+        infinite if unknown
+    :param rules: the rules in force; defaults to all
     """
 
     def __init__(
@@ -140,66 +145,66 @@
             self._client_left,
         )
         self._actions: list[_entry_events.EntryAction] = []
-        #: Agents whose last ask is to be answered.
+        #: Agents whose latest lease request is still to be answered.
         self._asking: dict[str, _pool.AgentRow] = {}
         self._draining = False
         self._next_sweep = 0.0
         self._dirty = False
-        #: When to tick for what came since the last tick.
+        #: When to tick for the events received since the last tick.
         self._tick_by = _NEVER
         self._now = 0.0
 
     @property
     def open_jobs(self) -> int:
-        """Jobs whose clients wait."""
+        """Number of jobs whose clients wait for an answer."""
         return len(self._jobs.open)
 
     @property
     def pool(self) -> _pool.Pool:
-        """The agents."""
+        """The known agents and their endpoints."""
         return self._pool
 
     @property
     def peers(self) -> _peers.EntryPeers:
-        """The other entries."""
+        """Other entries, and the configuration shared with them."""
         return self._peers
 
     @property
     def link(self) -> _own_link.OwnLink:
-        """The link of this entry's machine."""
+        """The network link of this entry's machine."""
         return self._link
 
     def take_notes(self) -> list[_notes.Note]:
-        """Return what was decided since the last call, for the log."""
+        """Return the notes on decisions since the last call, for the log."""
         return self._notes.take()
 
     def holds(self, name: str) -> bool:
-        """Return whether a job is open here."""
+        """Return whether this entry has an open job of that name."""
         job = self._jobs.find(name)
         return job is not None and not job.closed
 
     @property
     def waiting_tasks(self) -> int:
-        """Tasks of open jobs that nothing is ordered for."""
+        """Number of tasks of open jobs that are ready and not ordered."""
         return sum(len(job.startable()) for job in self._jobs.waiting)
 
     def usable_agents(self, now: float) -> int:
-        """Return how many agents take work from this entry."""
+        """Return the number of agents that take work from this entry."""
         return sum(row.usable(now) for row in self._pool)
 
     def pending(self, job_class: str) -> int:
-        """Return how many open jobs of a class nothing was ordered for."""
+        """Return the number of open jobs of a class without any order."""
         return sum(
             job.request.job_class.name == job_class
             for job in self._jobs.untried
         )
 
     def is_usable(self, now: float) -> bool:
-        """Return whether some endpoint takes work from this entry."""
+        """Return whether any endpoint takes work from this entry."""
         return self._pool.is_usable(now)
 
     def hello(self) -> wire.Hello:
-        """Return the greeting for a new stream."""
+        """Return the first message for a new stream."""
         return wire.Hello(
             wire.Role.ENTRY,
             self._name,
@@ -212,10 +217,10 @@
             takes_jobs=self._handover.takes_jobs,
         )
 
-    # Driving.
+    # Events and ticks.
 
     def receive(self, now: float, event: _entry_events.EntryEvent) -> None:
-        """Take in one event."""
+        """Process an event."""
         self._now = now
         match event:
             case wire.Received(peer, message):
@@ -240,7 +245,7 @@
         self._tick_by = now
 
     def _learn(self, event: _entry_events.EntryEvent) -> None:
-        """Take in what the store told."""
+        """Process an event that was read from the store."""
         match event:
             case _agent_events.EntriesFound(entries):
                 self._peers.learn_entries(entries)
@@ -277,7 +282,7 @@
         return actions
 
     def wake_at(self) -> float:
-        """Return when to tick at the latest."""
+        """Return the latest time of the next tick, in monotonic seconds."""
         return min(
             self._tick_by,
             self._next_sweep,
@@ -286,7 +291,7 @@
         )
 
     def tick_by(self) -> float:
-        """Return when to tick for the events since the last tick."""
+        """Return the latest time to tick for events since the last tick."""
         return self._tick_by
 
     def _sweep_every_s(self) -> float:
@@ -297,8 +302,8 @@
         self._actions.append(_entry_events.SendMessage(peer, message))
 
     def _send_all(self, messages: list[_entry_events.SendMessage]) -> None:
-        for one in messages:
-            self._send(one.peer, one.message)
+        for action in messages:
+            self._send(action.peer, action.message)
 
     # Clients.
 
@@ -322,9 +327,9 @@
             _jobs.make_tasks(request),
             self._run_times.spread(request.job_class.name),
         )
-        hope, messages = self._seeking.seek(now, job)
+        may_find_agents, messages = self._seeking.seek(now, job)
         self._send_all(messages)
-        refusal = self._scheduling.admission.admit(now, job, hope)
+        refusal = self._scheduling.admission.admit(now, job, may_find_agents)
         if refusal is not None and not self._handover.keeps(job, refusal):
             self._finish(now, job, refusal)
             return
@@ -332,7 +337,7 @@
         self._keep(now, job)
 
     def _keep(self, now: float, job: _jobs.Job) -> None:
-        """Hold a job until it is answered and its runs are over."""
+        """Store a job until it is answered and its runs are over."""
         self._jobs.add(job)
         self._scheduling.note_arrival(now, job)
         self._next_sweep = min(self._next_sweep, now + _REVIEW_S)
@@ -345,7 +350,7 @@
         token: int,
         request: _jobs.LeasedJob,
     ) -> None:
-        """Let a repeat wait for the runs of the first submission."""
+        """Attach a repeated submission to the runs of the first one."""
         job.tokens.append(token)
         if job.closed:
             job.closed = False
@@ -373,9 +378,11 @@
             self._finish(now, job, outcomes.FailedMayHaveRun(reason, origin))
 
     def _answer_all(self, now: float) -> None:
-        """Answer all open jobs: the process is about to end."""
+        """Answer all open jobs before the process ends."""
         for job in self._jobs.open:
-            self._finish(now, job, self._scheduling.admission.give_up(job))
+            self._finish(
+                now, job, self._scheduling.admission.deadline_outcome(job)
+            )
 
     def _reply(self, tokens: list[int], outcome: outcomes.JobOutcome) -> None:
         for token in tokens:
@@ -388,7 +395,7 @@
     def _finish(
         self, now: float, job: _jobs.Job, outcome: outcomes.JobOutcome
     ) -> None:
-        """Answer a job and stop what is left of it."""
+        """Answer a job's clients and close it."""
         if any(token > 0 for token in job.tokens):
             self._notes.answered(now, job, outcome)
         self._reply(job.tokens, outcome)
@@ -396,7 +403,7 @@
         self._close(job)
 
     def _close(self, job: _jobs.Job) -> None:
-        """Stop a job's runs; it is forgotten once they are over."""
+        """Stop a job's runs; the job is dropped once they are over."""
         job.closed = True
         self._handover.withdraw(job)
         self._runs.stop(job, job.bound())
@@ -422,7 +429,7 @@
                 self._pool.leave(name, incarnation)
 
     def _apply_cordons(self, is_news: bool) -> None:
-        """Order nothing in cordoned zones, and again in others."""
+        """Apply a new set of cordoned zones to the pool."""
         if not is_news:
             return
         self._pool.apply_cordons()
@@ -488,7 +495,7 @@
             self._tick_by = min(self._tick_by, now + _ANSWER_WITHIN_S)
 
     def _grant(self, now: float) -> None:
-        """Answer asks, but those that an order of this moment answers."""
+        """Answer lease requests that no order of this tick has answered."""
         for row in self._asking.values():
             row.answered_at = now
             if row.ask_answered != row.ask_seen:
@@ -518,7 +525,7 @@
     def _decide(
         self, now: float, decided: _run_tracking.Decided | None
     ) -> None:
-        """Answer a job that the end of a run decided."""
+        """Answer a job whose outcome was decided by the end of a run."""
         if decided is None:
             return
         job = decided.job
@@ -539,11 +546,11 @@
         if self._rules.shared_evidence:
             told = _evidence.of_zone(state.failing, self._zone)
             self._runs.hear(now, row, told)
-        if self._jobs.are_waiting:
+        if self._jobs.has_waiting_tasks:
             self._dirty = True
             self._tick_by = now
 
-    # Systems.
+    # Periodic checks.
 
     def _sweep(self, now: float) -> None:
         if self._next_sweep and now - self._next_sweep > _PAUSE_S:
@@ -571,7 +578,9 @@
     def _sweep_jobs(self, now: float) -> None:
         self._jobs.expire(now)
         for job in self._jobs.open:
-            if now >= job.deadline_at - _GIVE_UP_S:
-                self._finish(now, job, self._scheduling.admission.give_up(job))
+            if now >= job.deadline_at - _DEADLINE_MARGIN_S:
+                self._finish(
+                    now, job, self._scheduling.admission.deadline_outcome(job)
+                )
         for job, refusal in self._scheduling.review(now):
             self._finish(now, job, refusal)
--- a/src/ferryledge/leases/_entry_events.py
+++ b/src/ferryledge/leases/_entry_events.py
@@ -1,4 +1,4 @@
-"""What happens to an entry with leased tasks, and what it does."""
+"""Events that an entry's core receives, and actions that it returns."""
 
 from ferryledge.leases import _agent_events
 from ferryledge.leases import _jobs
@@ -7,54 +7,54 @@
 
 
 class JobSubmitted(wire.Event, frozen=True):
-    """A client's job arrived; ``token`` names the waiting request."""
+    """A client submitted a job; ``token`` identifies the open request."""
 
     token: int
     request: _jobs.LeasedJob
 
 
 class ClientLeft(wire.Event, frozen=True):
-    """The client of a waiting request hung up."""
+    """The client of an open request disconnected."""
 
     token: int
     job: str
 
 
 class JobCancelled(wire.Event, frozen=True):
-    """A client cancelled a job by its name."""
+    """A client cancelled a job by name."""
 
     job: str
 
 
 class ConfigRead(wire.Event, frozen=True):
-    """A configuration was read; the newest version counts."""
+    """A configuration was read; versions older than the known are ignored."""
 
     version: int
-    #: The configuration as it was read, to hand on to peers.
+    #: The encoded configuration, to be forwarded to peers as it is.
     data: bytes
-    #: End of the operators' log up to which nothing newer was there.
+    #: Offset in the operators' log up to which no newer version exists.
     log_end: int = 0
 
 
 class ConfigNotBrought(wire.Event, frozen=True):
-    """The agent that reads configurations for this entry missed one."""
+    """The agent that reads configurations for this entry failed to do so."""
 
 
 class CordonsRead(wire.Event, frozen=True):
-    """The operators' cordons were read; the newest state counts."""
+    """The cordoned zones were read; older states are ignored."""
 
     cordons: wire.CordonedZones
 
 
 class EntryDrain(wire.Event, frozen=True):
-    """The entry is to stop: it takes only jobs that end before that."""
+    """The entry shuts down: it admits only jobs that end in time."""
 
-    #: When it ends at the latest, in monotonic seconds.
+    #: Latest end of the process, in monotonic seconds.
     until: float
 
 
 class EntryStop(wire.Event, frozen=True):
-    """The entry ends now: answer all that is open."""
+    """The process ends now: all open jobs are to be answered."""
 
 
 EntryEvent = (
@@ -72,7 +72,7 @@
 
 
 class AnswerJob(wire.Event, frozen=True):
-    """Answer a waiting request; once for each token."""
+    """Answer an open request, once for each token."""
 
     token: int
     outcome: outcomes.JobOutcome
@@ -84,11 +84,11 @@
 
 
 class ApplyConfig(wire.Event, frozen=True):
-    """Put a configuration in force."""
+    """Apply a configuration."""
 
     version: int
     data: bytes
-    #: End of the operators' log up to which nothing newer was there.
+    #: Offset in the operators' log up to which no newer version exists.
     log_end: int = 0
 
 
--- a/src/ferryledge/leases/_entry_notes.py
+++ b/src/ferryledge/leases/_entry_notes.py
@@ -1,4 +1,4 @@
-"""An entry's notes: what each says and which inputs it carries."""
+"""The notes that an entry logs and counts, with their messages and facts."""
 
 from ferryledge import health
 from ferryledge.leases import _forecast
@@ -9,16 +9,16 @@
 from ferryledge import wire
 
 
-#: The true size is known to the client alone: of the answers that are late
-#: by the expected size, most are in time.
+#: Suffix for answers after the objective. The objective follows from the
+#: expected size of the job, since the entry does not know the true one.
 _LATE = ", late by its expected size"
 
 
 class EntryNotes(_handover_notes.HandoverNotes):
-    """What an entry decides about jobs, and believes of agents."""
+    """Logs and counts decisions on jobs and changes of the agents' state."""
 
     def admitted(self, job: _jobs.Job, held: int, config: int) -> None:
-        """A job is kept."""
+        """A job was admitted."""
         self.add(
             outcomes.Step.ADMIT,
             "admitted",
@@ -33,10 +33,10 @@
         )
 
     def deadly(self, job: _jobs.Job, task: _jobs.Task) -> None:
-        """A task is given up, since endpoints crash under it."""
+        """A task is not retried, since endpoints crashed while it ran."""
         self.add(
             outcomes.Step.RUN,
-            "task given up: endpoints crash under it",
+            "task abandoned: endpoints crash while it runs",
             job.name,
             urgent=True,
             task=task.index,
@@ -44,7 +44,7 @@
         )
 
     def cordoned(self, state: wire.CordonedZones) -> None:
-        """Other zones take no new work than before."""
+        """The set of cordoned zones changed."""
         self.add(
             outcomes.Step.HEALTH,
             "cordoned zones changed",
@@ -53,10 +53,10 @@
         )
 
     def sought(self, message: wire.SeekAgents, entries: int) -> None:
-        """Other entries are asked for agents."""
+        """Other entries were asked for agents that fit a task."""
         self.add(
             outcomes.Step.HEALTH,
-            "agents sought",
+            "agents requested from other entries",
             service=message.service,
             label=message.label,
             cpu_millis=message.need.cpu_millis,
@@ -66,7 +66,7 @@
         )
 
     def invited(self, message: wire.SeekAgents, agents: list[str]) -> None:
-        """Agents of this entry are to serve another one as well."""
+        """Agents of this entry were asked to serve another entry too."""
         self.add(
             outcomes.Step.HEALTH,
             "agents invited",
@@ -77,7 +77,7 @@
     def answered(
         self, now: float, job: _jobs.Job, outcome: outcomes.JobOutcome
     ) -> None:
-        """A job is answered."""
+        """A job was answered."""
         tag = outcomes.tag_of(outcome)
         match outcome:
             case outcomes.Complete():
@@ -139,7 +139,10 @@
     def put_back(
         self, now: float, job: _jobs.Job, told: _forecast.Forecast
     ) -> None:
-        """A job waits behind all that can be in time, for the first time."""
+        """A job was deferred behind all jobs that can meet their objective.
+
+        Noted only once for each job.
+        """
         if job.was_put_back:
             return
         job.was_put_back = True
@@ -156,7 +159,7 @@
         )
 
     def client_left(self, now: float, job: _jobs.Job) -> None:
-        """Nobody waits for a job any more."""
+        """The last client of a job disconnected."""
         self.add(
             outcomes.Step.CANCEL,
             "client left",
@@ -172,7 +175,7 @@
         tasks: tuple[_jobs.Task, ...],
         slowness: float,
     ) -> None:
-        """Runs were ordered at an agent."""
+        """Runs were ordered from an agent."""
         self._meter.ordered(len(tasks))
         if job.offered_at == now:
             self._meter.first_order(now - job.arrived_at)
@@ -197,7 +200,7 @@
         run: wire.TaskRun,
         reason: wire.NotStarted,
     ) -> None:
-        """An agent released a run."""
+        """An agent released a run without starting it."""
         self._meter.not_started(reason)
         self.add(
             outcomes.Step.START,
@@ -216,7 +219,7 @@
         end: wire.RunEnd,
         failures: int,
     ) -> None:
-        """A run ended; without a result, that is worth a line."""
+        """A run ended; it is logged only if it brought no result."""
         self._meter.ended(end.how)
         if end.how is wire.HowEnded.DONE:
             return
@@ -236,7 +239,7 @@
     def moved(
         self, job: _jobs.Job, task: _jobs.Task, late: wire.LateRun
     ) -> None:
-        """A run is stopped to be started elsewhere."""
+        """A run on a slow endpoint is stopped, to be repeated elsewhere."""
         self._meter.moved()
         self.add(
             outcomes.Step.MOVE,
@@ -250,18 +253,18 @@
         )
 
     def retry_waits(self, job: _jobs.Job, task: _jobs.Task) -> None:
-        """A task that failed waits until there is budget to try it again."""
+        """The retry of a failed task waits for the retry budget."""
         self._meter.retry_waits()
         self.add(
             outcomes.Step.PLACE,
-            "second try waits: too many of the starts are second tries",
+            "retry delayed: retry budget exhausted",
             job.name,
             task=task.index,
             failures=task.failures,
         )
 
     def connected(self, hello: wire.Hello) -> None:
-        """A stream is open."""
+        """A stream to a peer was opened."""
         self.add(
             outcomes.Step.HEALTH,
             f"{hello.role} connected",
@@ -270,7 +273,7 @@
         )
 
     def disconnected(self, name: str, incarnation: str) -> None:
-        """A stream broke."""
+        """A stream to a peer broke."""
         self.add(
             outcomes.Step.HEALTH,
             "stream broken",
@@ -280,7 +283,7 @@
         )
 
     def silent(self, now: float, row: _pool.AgentRow) -> None:
-        """A stream was closed because nothing came."""
+        """The stream of a silent agent was closed."""
         self.add(
             outcomes.Step.HEALTH,
             "agent silent: stream closed",
@@ -291,10 +294,10 @@
         )
 
     def over(self, now: float, row: _pool.AgentRow) -> None:
-        """Runs are over by the lease rule alone."""
+        """Runs count as over, since their leases must have expired."""
         self.add(
             outcomes.Step.LEASE,
-            "runs taken for over: no grant for longer than any lease",
+            "runs presumed over: no grant for longer than any lease",
             peer=row.name,
             urgent=True,
             runs=len(row.runs),
@@ -304,7 +307,7 @@
     def state_changed(
         self, row: _pool.AgentRow, state: wire.EndpointState
     ) -> None:
-        """An endpoint is another, stopped or began taking work, or slowed."""
+        """An endpoint restarted, or its readiness or speed changed."""
         old = row.state
         if (old.incarnation, old.accepting, old.slowness, old.steady) == (
             state.incarnation,
@@ -315,7 +318,7 @@
             return
         self.add(
             outcomes.Step.HEALTH,
-            "endpoint changed",
+            "endpoint state changed",
             peer=row.name,
             incarnation=state.incarnation,
             accepting=state.accepting,
@@ -326,11 +329,12 @@
     def judged(
         self, job: str, row: _pool.AgentRow, state: health.Health
     ) -> None:
-        """An endpoint's health changed, by an end or by what others saw.
+        """The health of an endpoint changed.
 
-        :param job: whose run ended; empty if others saw it
-        :param row: the agent beside it
-        :param state: its health now
+        :param job: job whose run ended; empty if the evidence came from other
+            entries
+        :param row: agent of the endpoint
+        :param state: new health of the endpoint
         """
         self._meter.health_changed()
         self.add(
@@ -341,6 +345,7 @@
             True,
             state=repr(state),
             failing=[
-                (one.zone, one.rate, one.failures) for one in row.state.failing
+                (evidence.zone, evidence.rate, evidence.failures)
+                for evidence in row.state.failing
             ],
         )
--- a/src/ferryledge/leases/_forecast.py
+++ b/src/ferryledge/leases/_forecast.py
@@ -1,10 +1,11 @@
-"""When a waiting job gets room, and whether its answer will be of use.
+"""Forecasts when a waiting job starts and whether its answer will be useful.
 
-It answers a load above the room for some seconds: what can still be in time
-goes first, what is late takes the room that this leaves, and what would come
-too late to be of use is known at once, so that its client can turn elsewhere.
-Work is taken for a fluid: the cores that this entry can count on carry away
-a core-second each second, and what comes adds to what is ahead.
+During overload, jobs that can still meet their objective go first and late
+jobs get the capacity that is left. A job whose answer would be useless is
+known early, so that its client can be refused and turn to another entry.
+
+The forecast is a fluid model: each core does one core-second of work per
+second, and new arrivals add to the work ahead.
 """
 
 import bisect
@@ -15,8 +16,8 @@
 
 from ferryledge.leases import _arrivals
 
-#: Seconds between two points of a forecast, and how far it reaches: beyond
-#: it the load is anyone's guess.
+#: Resolution and horizon of a forecast in seconds. The load beyond the horizon
+#: is not predictable.
 _STEP_S = 0.1
 _REACH_S = 8.0
 _STEPS = round(_REACH_S / _STEP_S)
@@ -24,76 +25,82 @@
 
 
 class Prospect(enum.Enum):
-    """What becomes of a job that is kept."""
+    """Expected result of keeping a job."""
 
-    #: It is likely to be answered within its objective.
+    #: The answer is likely to come within the objective.
     IN_TIME = "in time"
-    #: It is likely to miss that, yet to be of use to its client.
+    #: The answer is likely to miss the objective, but to be useful.
     LATE = "late"
-    #: Its answer would come when nobody needs it any more.
+    #: The answer would come too late to be useful.
     IN_VAIN = "in vain"
 
 
 class Forecast(msgspec.Struct, frozen=True):
-    """What is expected of one job."""
+    """Forecast for a job."""
 
-    #: Seconds until its last waiting task has room; infinite if never.
+    #: Seconds until the last waiting task starts; infinite if never.
     room_in_s: float
-    #: Seconds until its answer.
+    #: Seconds until the answer.
     answer_in_s: float
     prospect: Prospect
 
 
 class Need(msgspec.Struct, frozen=True):
-    """What a forecast has to know of a job; times in monotonic seconds."""
+    """Input of a forecast for a job; times are in monotonic seconds."""
 
-    #: Core-seconds of its waiting tasks.
+    #: Expected core-seconds of the waiting tasks.
     work: float
-    #: Expected seconds of its longest task.
+    #: Expected run time of the longest task, in seconds.
     run_s: float
-    #: The latest start that is likely to meet the objective.
+    #: Latest start that is likely to meet the objective.
     start_by: float
-    #: Until when an answer is of use.
+    #: Until when an answer is useful.
     useful_until: float
 
     @property
     def last_start(self) -> float:
-        """The latest start whose answer is likely to be of use."""
+        """Latest start whose answer is likely to be useful."""
         return self.useful_until - self.run_s
 
 
 class RoomChange(msgspec.Struct, frozen=True):
-    """Room that comes or goes."""
+    """A future change of capacity."""
 
     #: Seconds from now.
     in_s: float
-    #: Cores; negative if they go.
+    #: Number of cores; negative for a loss.
     cores: float
 
 
 class Room(msgspec.Struct, frozen=True):
-    """The room that work of one entry can count on."""
+    """Capacity that is available to the jobs of one entry."""
 
-    #: Cores that its waiting work gets in the long run.
+    #: Cores in the long run.
     cores: float
-    #: Cores on which nothing runs now.
+    #: Idle cores now.
     free: float = 0.0
+    #: Changes that are known in advance.
     changes: tuple[RoomChange, ...] = ()
-    #: Seconds that an order waits for this entry's own link.
+    #: Seconds that an order waits for the network link of the entry.
     link_s: float = 0.0
 
     def cores_in(self, in_s: float) -> float:
-        """Return the cores at a later moment."""
-        changed = sum(one.cores for one in self.changes if one.in_s <= in_s)
+        """Return the number of cores after some seconds.
+
+        :param in_s: seconds from now
+        """
+        changed = sum(
+            change.cores for change in self.changes if change.in_s <= in_s
+        )
         return max(0.0, self.cores + changed)
 
 
 class Forecaster:
-    """Tells what becomes of jobs of one service, as of one moment.
+    """Forecasts the jobs of one service at one point in time.
 
     :param now: monotonic seconds
-    :param room: that its jobs can count on
-    :param inflow: the work that comes
+    :param room: capacity that is available to the jobs
+    :param inflow: expected arrivals of work
     """
 
     def __init__(
@@ -101,84 +108,101 @@
     ) -> None:
         self._now = now
         self._room = room
-        #: The work that comes.
+        #: Expected arrivals of work.
         self.inflow = inflow
         steps = [number * _STEP_S for number in range(_STEPS)]
-        self._whole = _sums([room.cores_in(one) for one in steps])
-        self._left = _sums(
-            [max(0.0, room.cores_in(one) - inflow.cores(one)) for one in steps]
+        #: Core-seconds done by each step with the whole capacity.
+        self._total = _cumulative_work([room.cores_in(in_s) for in_s in steps])
+        #: The same with the capacity that expected arrivals leave.
+        self._spare = _cumulative_work(
+            [
+                max(0.0, room.cores_in(in_s) - inflow.cores(in_s))
+                for in_s in steps
+            ]
         )
 
     @property
     def cores(self) -> float:
-        """The cores that its jobs can count on now."""
+        """Number of cores that are available now."""
         return self._room.cores_in(0.0)
 
     def in_time(self, need: Need, ahead: float) -> Forecast:
-        """Return the forecast of a job in the turn of those in time.
+        """Return the forecast of a job that is ranked by its objective.
+
+        A job that would miss its objective is forecast as a deferred one.
 
-        :param need: what it needs
-        :param ahead: core-seconds that wait and get room before it
+        :param need: input for the job
+        :param ahead: core-seconds of waiting work that starts before it
         """
-        coming = self.inflow.ahead(need.start_by - self._now)
-        room_in_s = self._room_in(self._whole, need, ahead + coming)
+        arriving = self.inflow.overtaking_work(need.start_by - self._now)
+        room_in_s = self._start_delay(self._total, need, ahead + arriving)
         if self._now + room_in_s <= need.start_by:
-            return self._tell(need, room_in_s, Prospect.IN_TIME)
+            return self._make(need, room_in_s, Prospect.IN_TIME)
         return self.late(need, ahead)
 
     def late(self, need: Need, ahead: float) -> Forecast:
-        """Return the forecast of a job behind all that can be in time.
+        """Return the forecast of a job behind all jobs that can be on time.
 
-        :param need: what it needs
-        :param ahead: core-seconds that wait and get room before it
+        :param need: input for the job
+        :param ahead: core-seconds of waiting work that starts before it
         """
-        room_in_s = self._room_in(self._left, need, ahead)
-        # What fits into free room is not given up: it may get that in spite
-        # of what is ahead, which may wait for other endpoints.
+        room_in_s = self._start_delay(self._spare, need, ahead)
+        # A job that fits the idle cores is never too late: the work ahead of
+        # it may be waiting for other endpoints.
         wait_s = 0.0 if self._fits(need) else room_in_s
         if self._now + wait_s <= need.last_start:
-            return self._tell(need, room_in_s, Prospect.LATE)
-        return self._tell(need, room_in_s, Prospect.IN_VAIN)
+            return self._make(need, room_in_s, Prospect.LATE)
+        return self._make(need, room_in_s, Prospect.IN_VAIN)
 
     def room_in(self, ahead: float, work: float) -> float:
-        """Return in how many seconds so much more work has got room.
+        """Return the seconds until additional work has started.
 
-        :param ahead: core-seconds that wait
-        :param work: core-seconds that come behind them
+        :param ahead: core-seconds of waiting work
+        :param work: core-seconds of the additional work behind it
         """
-        return _reached(self._left, ahead + work)
+        return _completion_s(self._spare, ahead + work)
 
     def _fits(self, need: Need) -> bool:
-        """Return whether all its waiting tasks have room now."""
+        """Return whether all waiting tasks of a job fit the idle cores."""
         return need.work <= self._room.free * need.run_s
 
-    def _room_in(self, sums: list[float], need: Need, ahead: float) -> float:
-        """Return how long it takes until the last task has room.
+    def _start_delay(
+        self, capacity: list[float], need: Need, ahead: float
+    ) -> float:
+        """Return the seconds until the last waiting task of a job starts.
 
-        What is free now takes that much work without any run's end.
+        Work that fits the idle cores starts at once.
         """
         at_once = self._room.free * need.run_s
         work = max(0.0, ahead + need.work - at_once)
-        return _reached(sums, work) + self._room.link_s
+        return _completion_s(capacity, work) + self._room.link_s
 
-    def _tell(
+    def _make(
         self, need: Need, room_in_s: float, prospect: Prospect
     ) -> Forecast:
         return Forecast(room_in_s, room_in_s + need.run_s, prospect)
 
 
-def _sums(cores: list[float]) -> list[float]:
-    """Return the core-seconds that are carried away by each step."""
-    carried = (one * _STEP_S for one in cores)
-    return list(itertools.accumulate(carried, initial=0.0))
+def _cumulative_work(cores: list[float]) -> list[float]:
+    """Return the core-seconds that are done by each step of the forecast.
+
+    :param cores: available cores at each step
+    """
+    done = (count * _STEP_S for count in cores)
+    return list(itertools.accumulate(done, initial=0.0))
 
 
-def _reached(sums: list[float], work: float) -> float:
-    """Return after how many seconds so much work is carried away."""
+def _completion_s(capacity: list[float], work: float) -> float:
+    """Return the seconds until an amount of work is done.
+
+    :param capacity: cumulative core-seconds by step
+    :param work: core-seconds
+    :return: infinite if it is not done within the horizon
+    """
     if work <= 0.0:
         return 0.0
-    step = bisect.bisect_left(sums, work)
-    if step == len(sums):
+    step = bisect.bisect_left(capacity, work)
+    if step == len(capacity):
         return _NEVER
-    part = (work - sums[step - 1]) / (sums[step] - sums[step - 1])
+    part = (work - capacity[step - 1]) / (capacity[step] - capacity[step - 1])
     return (step - 1 + part) * _STEP_S
--- a/src/ferryledge/leases/_job_table.py
+++ b/src/ferryledge/leases/_job_table.py
@@ -1,21 +1,21 @@
-"""The jobs that an entry holds, by their names."""
+"""Table of the jobs that an entry holds."""
 
 from collections import abc
 
 from ferryledge.leases import _jobs
 
-#: Seconds for which the answer of a complete job is kept for a repeat.
-_KEEP_ANSWER_S = 10.0
+#: Seconds for which a complete job is remembered for repeated submissions.
+_KEEP_COMPLETE_S = 10.0
 
 
 class JobTable:
-    """Open jobs, and closed ones whose runs are not over yet."""
+    """Open jobs, and closed jobs whose runs are not over yet."""
 
     def __init__(self) -> None:
         self._jobs: dict[str, _jobs.Job] = {}
         self._complete: dict[str, float] = {}
-        #: From when the right to run jobs of other entries counts, by the
-        #: names of the jobs.
+        #: Start of this entry's authority to run each job of another entry, in
+        #: monotonic seconds by job name.
         self.signed: dict[str, float] = {}
 
     def __len__(self) -> int:
@@ -26,50 +26,50 @@
 
     @property
     def open(self) -> list[_jobs.Job]:
-        """Jobs whose clients wait."""
+        """Jobs whose clients wait for an answer."""
         return [job for job in self._jobs.values() if not job.closed]
 
     @property
     def untried(self) -> list[_jobs.Job]:
-        """Open jobs that nothing was ordered for."""
+        """Open jobs that no run was ordered for."""
         return [job for job in self.open if job.offered_at is None]
 
     @property
-    def are_waiting(self) -> bool:
-        """Whether tasks of open jobs are not bound, their turn come or not."""
+    def has_waiting_tasks(self) -> bool:
+        """Whether any open job has waiting tasks, ready or not."""
         return any(
             job.waiting and not job.closed for job in self._jobs.values()
         )
 
     @property
     def waiting(self) -> list[_jobs.Job]:
-        """Open jobs with tasks that wait for room."""
+        """Open jobs with tasks that are ready and not ordered."""
         return [job for job in self.open if job.startable()]
 
     def find(self, name: str) -> _jobs.Job | None:
-        """Return a job, or none."""
+        """Return the job of that name, or ``None``."""
         return self._jobs.get(name)
 
     def add(self, job: _jobs.Job) -> None:
-        """Keep a job."""
+        """Add a job."""
         self._jobs[job.name] = job
 
     def drop_if_over(self, job: _jobs.Job) -> None:
-        """Forget a closed job once none of its runs may be alive."""
+        """Drop a job if it is closed and all its runs are over."""
         if job.closed and not job.is_away and not job.bound():
             self._jobs.pop(job.name, None)
 
     def note_complete(self, name: str, now: float) -> None:
-        """Keep the answer of a complete job for a repeat."""
+        """Remember that a job was answered as complete."""
         self._complete[name] = now
 
     def was_complete(self, name: str) -> bool:
-        """Return whether a job was answered as complete lately."""
+        """Return whether a job was recently answered as complete."""
         return name in self._complete
 
     def expire(self, now: float) -> None:
-        """Forget answers that are old."""
-        for name, at in list(self._complete.items()):
-            if now - at < _KEEP_ANSWER_S:
+        """Forget complete jobs after the retention time."""
+        for name, completed_at in list(self._complete.items()):
+            if now - completed_at < _KEEP_COMPLETE_S:
                 return
             del self._complete[name]
--- a/src/ferryledge/leases/_jobs.py
+++ b/src/ferryledge/leases/_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs that an entry holds, with their tasks and runs."""
+"""Jobs as an entry holds them, with their classes, steps and tasks."""
 
 import dataclasses
 import enum
@@ -10,204 +10,211 @@
 from ferryledge.leases import _forecast
 from ferryledge import wire
 
-#: A job is smaller than expected by this many deviations one time in ten.
+#: Standard deviations below the expected size; one job in ten is smaller.
 _LIKELY_DEVIATIONS = 1.28
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobClass:
-    """How the operators want one kind of job to be treated."""
+    """Operators' settings for one queue of jobs."""
 
     name: str
-    #: The service whose endpoints run its tasks.
+    #: Service whose endpoints run the tasks.
     service: str
-    #: 0 comes first.
+    #: Lower numbers go first; 0 is the highest priority.
     priority: int = 0
-    #: Runs of one task that may end as failed before the job fails.
+    #: Failed runs of one task after which the job fails.
     attempts: int = 1
-    #: The objective is this many times the job's longest task ...
+    #: Part of the objective that is proportional to the job's longest task.
     stretch: float = 1.0
-    #: ... and this many seconds.
+    #: Constant part of the objective, in seconds.
     target_s: float = 0.0
-    #: An answer is useful for this many times the objective. 1 is not beyond
-    #: it: what would be late is refused.
+    #: How long an answer is useful, as a multiple of the objective. At 1 a job
+    #: that would miss its objective is refused.
     late_factor: float = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobStep:
-    """Tasks of a job that are alike."""
+    """A group of tasks of a job with the same requirements."""
 
     count: int
     need: wire.Resources
-    #: The client's rough guess of one task's run time; 0 is none.
+    #: Client's estimate of one task's run time in seconds; 0 if unknown.
     estimate_s: float = 0.0
-    #: Earlier steps, all of whose tasks must be done first.
+    #: Numbers of the steps whose tasks must all be done first.
     depends_on: tuple[int, ...] = ()
-    #: A label that the endpoint must have; empty is any endpoint.
+    #: Label that an endpoint must have; empty for any endpoint.
     label: str = ""
-    #: Most tasks of the step on one endpoint; 0 is no bound.
+    #: Most tasks of the step on one endpoint; 0 for no limit.
     max_per_endpoint: int = 0
-    #: A label of the endpoints near the step's data; empty is none. On
-    #: others a task takes longer.
+    #: Label of the endpoints near the step's data; empty for none. Tasks take
+    #: longer on other endpoints.
     near: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeasedJob:
-    """A job as a client hands it in."""
+    """A job as its client submitted it."""
 
-    #: The client's name for it, unique among jobs.
+    #: Name that the client gave the job, unique among jobs.
     job: str
     job_class: JobClass
-    #: What the endpoints are to run.
+    #: Specification of the tasks, passed to the endpoints as it is.
     spec: str
     steps: tuple[JobStep, ...]
-    #: Seconds for which the client waits; 0 is for ever.
+    #: Seconds for which the client waits; 0 for no limit.
     deadline_s: float = 0.0
 
 
 class TaskState(enum.Enum):
-    """How far a task is."""
+    """Progress of a task."""
 
     WAITING = "waiting"
-    #: One run of it is ordered and not known to be over.
+    #: A run of the task is ordered and not known to be over.
     BOUND = "bound"
     DONE = "done"
 
 
 class Task(msgspec.Struct):
-    """One task of a job."""
+    """A task of a job, with its latest run."""
 
     step: int
     index: int
     state: TaskState = TaskState.WAITING
-    #: Number of its last run.
+    #: Number of the latest run; 0 before the first.
     run: int = 0
-    #: Runs that ended as failed.
+    #: Number of failed runs.
     failures: int = 0
-    #: Endpoints that crashed while it ran there.
+    #: Crashes of endpoints while the task ran there.
     crashes: list[_crashes.Crash] = msgspec.field(default_factory=list)
-    #: The agent that holds its run; empty if none does.
+    #: Agent that holds the run; empty if none does.
     agent: str = ""
     ordered_at: float = 0.0
-    #: Agents that failed or were too slow for it.
+    #: Agents to avoid, since the task failed, crashed or was too slow there.
     avoid: set[str] = msgspec.field(default_factory=set)
-    #: Whether its run was told to stop.
+    #: Whether a stop of the run was requested.
     stopping: bool = False
-    #: Times that it was moved for being too slow.
+    #: Times that the task was moved off a slow endpoint.
     moves: int = 0
 
     @property
     def task_run(self) -> wire.TaskRun:
-        """Its last run."""
+        """Identifier of the latest run."""
         return wire.TaskRun(self.step, self.index, self.run)
 
 
 class Job(msgspec.Struct):
-    """A job that this entry holds."""
+    """A job that this entry holds, with the state of its tasks."""
 
     request: LeasedJob
+    #: Open requests that wait for the answer.
     tokens: list[int]
     arrived_at: float
-    #: Expected run time of its longest task at normal speed, in seconds.
+    #: Expected run time of the longest task at normal speed, in seconds.
     expected_s: float
+    #: Tasks by step.
     tasks: list[list[Task]]
-    #: By how much that may be off: the deviation of its logarithm.
+    #: Standard deviation of the logarithm of the expected run time.
     spread: float = 0.0
-    #: When its first run was ordered; none yet if nothing was.
+    #: When the first run was ordered, or the job was offered to another entry;
+    #: ``None`` before that.
     offered_at: float | None = None
-    #: What was forecast of it last, while nothing was ordered for it; none
-    #: if it was not looked at, or is refused where it would be late.
+    #: Latest forecast before the first order; ``None`` if there was none, or
+    #: if the job is refused where it would be late.
     forecast: _forecast.Forecast | None = None
-    #: Whether it was ever put behind all that can be in time.
+    #: Whether the job was ever deferred behind all jobs that can be on time.
     was_put_back: bool = False
-    #: Whether its client was refused and comes back at the time it was told.
+    #: Whether the client was refused before and retried at the time it was
+    #: told.
     keeps_place: bool = False
-    #: Whether it was answered, or nobody waits for it any more.
+    #: Whether the job was answered or all its clients disconnected.
     closed: bool = False
-    #: Its spec, packed; empty until that is needed.
+    #: Compressed spec; empty until first used.
     packed_spec: bytes = b""
-    #: Whether another entry has it, or may have it: nothing is ordered here.
+    #: Whether another entry holds the job, or may hold it. Nothing is ordered
+    #: here meanwhile.
     is_away: bool = False
-    #: Whether it belongs to another entry; it is handed on no further.
+    #: Whether the job was received from another entry. It is not handed on
+    #: again.
     is_handed_in: bool = False
-    #: Times that it was offered to other entries.
+    #: Times that the job was offered to other entries.
     offers: int = 0
-    #: Tasks in the state of waiting, whether their turn has come or not.
+    #: Number of tasks in the state ``WAITING``, ready or not.
     waiting: int = 0
 
     def __post_init__(self) -> None:
         self.waiting = len(self.all_tasks)
 
     def set_state(self, task: Task, state: TaskState) -> None:
-        """Change the state of one of its tasks."""
+        """Change the state of a task and the count of waiting tasks."""
         self.waiting -= task.state is TaskState.WAITING
         self.waiting += state is TaskState.WAITING
         task.state = state
 
     @property
     def name(self) -> str:
-        """The client's name for it."""
+        """Name that the client gave the job."""
         return self.request.job
 
     def pack_spec(self) -> bytes:
-        """Return its spec, packed once for all orders."""
+        """Return the compressed spec; it is compressed only once."""
         if not self.packed_spec:
             self.packed_spec = wire.pack_text(self.request.spec)
         return self.packed_spec
 
     @property
     def all_tasks(self) -> list[Task]:
-        """Its tasks over all steps."""
+        """Tasks of all steps."""
         return [task for step in self.tasks for task in step]
 
     @property
     def objective_s(self) -> float:
-        """Seconds within which it should be answered."""
+        """Seconds from arrival within which the job should be answered."""
         job_class = self.request.job_class
         return job_class.stretch * self.expected_s + job_class.target_s
 
     @property
     def objective_at(self) -> float:
-        """When it should be answered, in monotonic seconds."""
+        """End of the objective, in monotonic seconds."""
         return self.arrived_at + self.objective_s
 
     @property
     def useful_until(self) -> float:
-        """Until when an answer is of use to the client, monotonic seconds."""
+        """Until when an answer is useful, in monotonic seconds."""
         late_s = self.request.job_class.late_factor * self.objective_s
         return min(self.arrived_at + late_s, self.deadline_at)
 
     @property
     def start_by(self) -> float:
-        """The latest start that is likely to meet the objective.
+        """Latest start that is likely to meet the objective.
 
-        Objective and run time grow together with the true size of the
-        tasks, which is known by a guess only: the smaller the job really
-        is, the less it may wait. One that waited for the whole of what its
-        expected size allows would be late half of the time.
+        A smaller job has a shorter objective, and the true size is only
+        estimated. So the bound assumes a size near the lower end of the
+        likely range.
         """
         job_class = self.request.job_class
-        least_s = self.expected_s * math.exp(-_LIKELY_DEVIATIONS * self.spread)
-        wait_s = (job_class.stretch - 1.0) * least_s + job_class.target_s
+        shortest_s = self.expected_s * math.exp(
+            -_LIKELY_DEVIATIONS * self.spread
+        )
+        wait_s = (job_class.stretch - 1.0) * shortest_s + job_class.target_s
         return self.arrived_at + wait_s
 
     @property
     def may_be_late(self) -> bool:
-        """Whether an answer beyond the objective is of use."""
+        """Whether an answer after the objective is useful."""
         return self.request.job_class.late_factor > 1.0
 
     @property
     def is_put_back(self) -> bool:
-        """Whether it waits behind all jobs that can be in time."""
+        """Whether the job waits behind all jobs that can be on time."""
         if self.forecast is None:
             return False
         return self.forecast.prospect is not _forecast.Prospect.IN_TIME
 
     @property
     def need(self) -> _forecast.Need:
-        """What a forecast has to know of it."""
+        """Input of a forecast for the job."""
         return _forecast.Need(
             self.waiting_work(),
             self.expected_s,
@@ -217,31 +224,31 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether a run of it was ordered."""
+        """Whether a run was ordered, or another entry was offered the job."""
         return self.offered_at is not None
 
     def waiting_work(self) -> float:
-        """Return the core-seconds that its waiting tasks are to take."""
+        """Return the expected core-seconds of the waiting tasks."""
         tasks = sum(step.count for step in self.request.steps)
         return self.work * self.waiting / tasks
 
     @property
     def deadline_at(self) -> float:
-        """When the client stops waiting."""
+        """When the client stops waiting, in monotonic seconds."""
         if not self.request.deadline_s:
             return float("inf")
         return self.arrived_at + self.request.deadline_s
 
     @property
     def work(self) -> float:
-        """Core-seconds that its tasks are expected to take."""
+        """Expected core-seconds of all tasks."""
         return sum(
             step.count * step.need.cpu_millis / 1000.0 * self.expected_s
             for step in self.request.steps
         )
 
     def find(self, run: wire.TaskRun) -> Task | None:
-        """Return the task of its last run, or none."""
+        """Return the task whose latest run this is, or ``None``."""
         if run.step >= len(self.tasks):
             return None
         step = self.tasks[run.step]
@@ -258,12 +265,12 @@
         return all(t.state is TaskState.DONE for t in self.tasks[step])
 
     def startable(self) -> list[Task]:
-        """Return the waiting tasks whose earlier steps are done."""
+        """Return the waiting tasks whose required steps are done."""
         if self.is_away or not self.waiting:
             return []
         ready: list[Task] = []
         for number, step in enumerate(self.request.steps):
-            if all(self.is_done(one) for one in step.depends_on):
+            if all(self.is_done(earlier) for earlier in step.depends_on):
                 ready += [
                     task
                     for task in self.tasks[number]
@@ -273,7 +280,7 @@
 
 
 def make_tasks(request: LeasedJob) -> list[list[Task]]:
-    """Return a new job's tasks, by step."""
+    """Return the tasks of a new job, by step."""
     return [
         [Task(number, index) for index in range(step.count)]
         for number, step in enumerate(request.steps)
--- a/src/ferryledge/leases/_returns.py
+++ b/src/ferryledge/leases/_returns.py
@@ -1,16 +1,14 @@
-"""When refused callers are to come back, and what their return is worth.
-
-It answers callers that are refused on a crest and all come back at once, into
-a pool that is still full. Each is told the first moment at which the forecast
-has room for it behind all that waits and all that was told to come back
-before it: so they return one after another, as room allows.
-
-The client carries nothing but the name of its job, which is its ticket. The
-entry that refused it keeps the time that it was told, and how much work was
-promised room. It does not keep them beyond its own life, nor tell other
-entries: there, and under another name, a returning caller is a new one. One
-that comes back at its time goes ahead of new jobs that are about as pressing;
-one that comes early is a new one and, refused again, is told the same time.
+"""Schedules the retries of refused clients.
+
+Without a schedule, clients that are refused during a peak would all retry at
+once, while the pool is still full. Each client is told the first time at which
+the forecast has capacity for its job, behind all waiting jobs and all retries
+that are scheduled already.
+
+A retry is recognised by the name of the job. It goes ahead of new jobs of
+about the same urgency if it comes at the scheduled time. A client that retries
+earlier is treated as new and, if refused again, is told the same time. The
+schedule is local to this entry and is lost when the process ends.
 """
 
 from collections import abc
@@ -18,36 +16,35 @@
 
 import msgspec
 
-#: Longest delay in seconds that a caller is told: what comes later than that
-#: is anyone's guess.
+#: Maximum retry delay in seconds. Later capacity is not predictable.
 _LONGEST_S = 5.0
-#: Seconds by which a return may be early: callers are told whole seconds, the
-#: nearest to the moment with room.
+#: Seconds by which a retry may be early, since clients are told whole seconds.
 _EARLY_S = 0.5
-#: Seconds by which it may be late.
+#: Seconds by which a retry may be late.
 _KEEP_S = 3.0
-#: Most callers that are remembered; the oldest one is forgotten.
-_MOST = 2000
+#: Maximum number of scheduled retries; beyond it the oldest is dropped.
+_MAX_ENTRIES = 2000
 
 
-class _Promise(msgspec.Struct, frozen=True):
-    """What a refused caller was told."""
+class _Retry(msgspec.Struct, frozen=True):
+    """A scheduled retry."""
 
-    #: When it may come back, in monotonic seconds.
+    #: Scheduled time, in monotonic seconds.
     due_at: float
-    #: Core-seconds of its job.
+    #: Core-seconds of the job.
     work: float
 
 
 class Returns:
-    """What refused callers were told.
+    """Retries that refused clients were told to make.
 
-    :param rng: spreads callers for whom no room is forecast
+    :param rng: adds jitter to retries for which no capacity is forecast
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._promises: dict[str, _Promise] = {}
+        #: Scheduled retries by job name, the oldest first.
+        self._retries: dict[str, _Retry] = {}
 
     def promise(
         self,
@@ -56,48 +53,50 @@
         work: float,
         room_in: abc.Callable[[float], float],
     ) -> float:
-        """Return the seconds after which a refused caller is to come back.
+        """Return the seconds after which a refused client should retry.
 
         :param now: monotonic seconds
-        :param name: its job
+        :param name: name of the refused job
         :param work: core-seconds of the job
-        :param room_in: tells in how many seconds so much work has got room,
-            beside what waits already
+        :param room_in: returns the delay in seconds of additional
+            core-seconds of work behind all waiting work
         """
-        self._forget(now)
-        known = self._promises.get(name)
+        self._expire(now)
+        known = self._retries.get(name)
         if known is not None and known.due_at > now:
             return known.due_at - now
-        promised = sum(
-            one.work for one in self._promises.values() if one.due_at > now
+        reserved = sum(
+            retry.work
+            for retry in self._retries.values()
+            if retry.due_at > now
         )
-        delay_s = room_in(promised + work)
+        delay_s = room_in(reserved + work)
         if delay_s > _LONGEST_S:
             delay_s = _LONGEST_S * (1.0 - 0.5 * self._rng.random())
-        self._promises.pop(name, None)
-        self._promises[name] = _Promise(now + delay_s, work)
+        self._retries.pop(name, None)
+        self._retries[name] = _Retry(now + delay_s, work)
         return delay_s
 
     def come(self, now: float, name: str) -> bool:
-        """Return whether a job that is taken comes back at its time.
+        """Return whether an admitted job is a retry at its scheduled time.
 
         :param now: monotonic seconds
-        :param name: the job
+        :param name: name of the job
         """
-        known = self._promises.get(name)
+        known = self._retries.get(name)
         if known is None or now < known.due_at - _EARLY_S:
             return False
-        del self._promises[name]
+        del self._retries[name]
         return now <= known.due_at + _KEEP_S
 
-    def _forget(self, now: float) -> None:
-        """Drop what nobody came back for."""
-        old = [
+    def _expire(self, now: float) -> None:
+        """Drop retries that were not made in time."""
+        expired = [
             name
-            for name, one in self._promises.items()
-            if now > one.due_at + _KEEP_S
+            for name, retry in self._retries.items()
+            if now > retry.due_at + _KEEP_S
         ]
-        for name in old:
-            del self._promises[name]
-        if len(self._promises) >= _MOST:
-            del self._promises[next(iter(self._promises))]
+        for name in expired:
+            del self._retries[name]
+        if len(self._retries) >= _MAX_ENTRIES:
+            del self._retries[next(iter(self._retries))]
--- a/src/ferryledge/leases/tests/test_arrivals.py
+++ b/src/ferryledge/leases/tests/test_arrivals.py
@@ -41,8 +41,8 @@
             _arrivals.QueueFlow("long", 20.0, 20.0, 0.6),
         )
     )
-    assert inflow.ahead(0.05) == 0.0
-    assert inflow.ahead(0.5) == pytest.approx(4.0)
+    assert inflow.overtaking_work(0.05) == 0.0
+    assert inflow.overtaking_work(0.5) == pytest.approx(4.0)
 
 
 def test_jobs_that_were_put_back_do_not_go_ahead() -> None:
