--- a/src/ferryledge/bench/_ablations.py
+++ b/src/ferryledge/bench/_ablations.py
@@ -61,7 +61,7 @@
             target, name = placement.RunTimes, "slowness"
             replacement = _normal_speed
         case Ablation.HEALTH:
-            target, name = health.HealthJudge, "_may_eject"
+            target, name = health.HealthTracker, "_may_eject"
             replacement = _never
         case _:
             yield
--- a/src/ferryledge/capacity/_leased.py
+++ b/src/ferryledge/capacity/_leased.py
@@ -21,8 +21,8 @@
 _SPEC = "x" * 600
 
 
-def _seen(now: float) -> leases.EndpointSeen:
-    return leases.EndpointSeen(
+def _seen(now: float) -> leases.EndpointHeartbeat:
+    return leases.EndpointHeartbeat(
         "i-1",
         "desk",
         "127.0.0.1:1",
--- a/src/ferryledge/cli/tests/test_files.py
+++ b/src/ferryledge/cli/tests/test_files.py
@@ -16,7 +16,9 @@
 def rules(name):
     entities = _file.load(EXAMPLES / f"{name}.toml")
     return {
-        one.name: policy.Rules(one) for one in entities if one.kind == "policy"
+        one.name: policy.CompiledPolicy(one)
+        for one in entities
+        if one.kind == "policy"
     }
 
 
@@ -25,11 +27,11 @@
     counter, quotes, holds = (
         found[name] for name in ("counter", "quotes", "holds")
     )
-    assert counter.judge(policy.Facts(tasks=2)).urgency == 4
+    assert counter.evaluate(policy.Facts(tasks=2)).urgency == 4
     late = policy.Facts(deadline_s=0.1, expected_s=0.5)
-    assert counter.judge(late).detail == "too late to be of use"
-    assert quotes.judge(policy.Facts(deadline_s=0.5)).urgency == 3
-    assert quotes.judge(policy.Facts(tasks=300, load=0.95)).refused
+    assert counter.evaluate(late).detail == "too late to be of use"
+    assert quotes.evaluate(policy.Facts(deadline_s=0.5)).urgency == 3
+    assert quotes.evaluate(policy.Facts(tasks=300, load=0.95)).refused
     assert not holds.allows(policy.Facts(zone="a", home="b", load=0.2))
     assert holds.allows(policy.Facts(zone="a", home="b", load=0.9))
 
@@ -39,11 +41,11 @@
     lookups, boarding, bags = (
         found[name] for name in ("lookups", "boarding", "bags")
     )
-    assert lookups.judge(policy.Facts("app", load=0.9)).urgency == 0.5
-    assert lookups.judge(policy.Facts("app", waiting=3000)).refused
-    assert not lookups.judge(policy.Facts("gates", waiting=3000)).refused
-    assert boarding.judge(policy.Facts("gates")).urgency == 8
-    assert boarding.judge(policy.Facts("app", deadline_s=1.0)).urgency == 4
+    assert lookups.evaluate(policy.Facts("app", load=0.9)).urgency == 0.5
+    assert lookups.evaluate(policy.Facts("app", waiting=3000)).refused
+    assert not lookups.evaluate(policy.Facts("gates", waiting=3000)).refused
+    assert boarding.evaluate(policy.Facts("gates")).urgency == 8
+    assert boarding.evaluate(policy.Facts("app", deadline_s=1.0)).urgency == 4
     assert bags.allows(policy.Facts(zone="a", home="a"))
 
 
--- a/src/ferryledge/core/_admission.py
+++ b/src/ferryledge/core/_admission.py
@@ -37,9 +37,9 @@
                 outcomes.Reason.UNKNOWN_SERVICE, 0.0, message.service
             )
         declared = max((t.declared_s for t in message.tasks), default=0.0)
-        expected = self._state.run_times.expect(message.service, declared)
+        expected = self._state.run_times.predict(message.service, declared)
         facts = self._facts(message, expected, declared)
-        ruling = self._state.rulebook.judge(service, facts)
+        ruling = self._state.rulebook.evaluate(service, facts)
         if ruling.refused:
             return self.refuse(
                 outcomes.Reason.POLICY, self._state.drain_s(), ruling.detail
@@ -139,7 +139,7 @@
     ) -> outcomes.Refused | None:
         guarded = self._state.options.guards and message.deadline_s > 0
         before = (
-            self._state.queue.work_before(waiting.key)
+            self._state.queue.work_ahead(waiting.key)
             if guarded
             else self._state.queue.work_s
         )
--- a/src/ferryledge/core/_agent.py
+++ b/src/ferryledge/core/_agent.py
@@ -399,7 +399,7 @@
 
     def _on_unstarted(self, now: float, key: ledger.TaskKey) -> None:
         """Release a task that never reached the endpoint."""
-        record = self._starts.take_back(key)
+        record = self._starts.undo_start(key)
         if record is None:
             return
         batch = self._free(key)
--- a/src/ferryledge/core/_arbiter.py
+++ b/src/ferryledge/core/_arbiter.py
@@ -75,7 +75,7 @@
         verdict = self._tickets.authorise(
             asked.ticket, asked.submission, asked.digest, owner
         )
-        granted = verdict.word is ledger.TicketWord.GRANTED
+        granted = verdict.status is ledger.TicketStatus.GRANTED
         if tell_granted or not granted:
             answer = _convert.verdict(asked.ticket, asked.submission, verdict)
             self._send(now, owner, answer)
--- a/src/ferryledge/core/_convert.py
+++ b/src/ferryledge/core/_convert.py
@@ -41,7 +41,7 @@
     return wire.Verdict(
         ticket,
         submission,
-        wire.VerdictTag(found.word.value),
+        wire.VerdictTag(found.status.value),
         found.outcome,
     )
 
--- a/src/ferryledge/core/_endpoints.py
+++ b/src/ferryledge/core/_endpoints.py
@@ -40,7 +40,7 @@
             return
         if row is not None:
             self.agent_gone(now, row)
-        self._state.judge.join(hello.name)
+        self._state.health_tracker.join(hello.name)
         self._state.run_times.forget_endpoint(hello.name)
         self._state.table.put(
             placement.EndpointRow(
@@ -94,7 +94,7 @@
             if asked and ledger.minter_of(job.message.ticket) == row.name:
                 submissions.add(job.submission)
         self._state.table.drop(row.name)
-        self._state.judge.leave(row.name)
+        self._state.health_tracker.leave(row.name)
         for submission in submissions:
             held = self._state.jobs.get(submission)
             if held is not None:
--- a/src/ferryledge/core/_entry.py
+++ b/src/ferryledge/core/_entry.py
@@ -301,8 +301,8 @@
         if peer is None:
             return
         peer.last_heard = now
-        if peer.doubted:
-            peer.doubted = False
+        if peer.is_suspect:
+            peer.is_suspect = False
             self._routing.share_endpoints()
         if peer.hello.role is wire.Role.AGENT:
             self._on_agent_message(now, peer, message)
@@ -424,7 +424,7 @@
         self._next_sweep = now + _SWEEP_S
         if self._front.jobs and late > _peers.PAUSE_S:
             # This process was paused; the peers were not silent.
-            self._peers.forgive_silence(now)
+            self._peers.reset_silence_timers(now)
         self._front.sweep(now)
         for peer in self._peers.of_role(wire.Role.ENTRY):
             self._check_silence(now, peer)
@@ -435,7 +435,7 @@
             return
         if now - peer.last_heard <= self._options.silence_s:
             return
-        peer.doubted = True
+        peer.is_suspect = True
         abandon = wire.AbandonJobs(self._front.last_number)
         self._peers.send(now, peer.name, abandon)
         self._scheduler_lost(now, peer)
--- a/src/ferryledge/core/_front.py
+++ b/src/ferryledge/core/_front.py
@@ -192,7 +192,7 @@
         base_s: float,
         detail: str = "",
     ) -> outcomes.Refused:
-        delay = limits.spread_delay(
+        delay = limits.jittered_delay(
             base_s, self._options.max_retry_after_s, self._rng
         )
         origin = outcomes.Origin(outcomes.Step.SUBMIT, self._identity.name)
--- a/src/ferryledge/core/_monitoring.py
+++ b/src/ferryledge/core/_monitoring.py
@@ -25,7 +25,7 @@
 
     def sweep(self, now: float) -> None:
         """Doubt endpoints and drop old assumptions."""
-        self._state.table.forget_foreign(now)
+        self._state.table.expire_foreign_slots(now)
         for row in self._state.table:
             if row.connected:
                 self._doubt(now, row)
@@ -69,9 +69,9 @@
             and bool(row.bound)
             and now - peer.last_heard > self._state.options.silence_s
         )
-        doubted = silent or self._overdue(now, row)
-        if doubted != row.doubted:
-            row.doubted = doubted
+        is_suspect = silent or self._overdue(now, row)
+        if is_suspect != row.is_suspect:
+            row.is_suspect = is_suspect
             self._state.table.refresh(row)
 
     def _overdue(self, now: float, row: placement.EndpointRow) -> bool:
--- a/src/ferryledge/core/_peers.py
+++ b/src/ferryledge/core/_peers.py
@@ -17,7 +17,7 @@
     hello: wire.Hello
     leaving: bool = False
     #: It went silent with work in hand, and was not heard since.
-    doubted: bool = False
+    is_suspect: bool = False
     last_heard: float = 0.0
     last_sent: float = 0.0
     config_version: int = 0
@@ -120,7 +120,7 @@
             default=float("inf"),
         )
 
-    def forgive_silence(self, now: float) -> None:
+    def reset_silence_timers(self, now: float) -> None:
         """Start all silences anew, after this process was paused."""
         for peer in self._rows.values():
             peer.last_heard = now
--- a/src/ferryledge/core/_placing.py
+++ b/src/ferryledge/core/_placing.py
@@ -25,14 +25,14 @@
         """Bind waiting tasks to free slots, in the queue's order."""
         if not self._state.queue.tasks:
             return
-        rows = self._state.table.open_rows(now)
+        rows = self._state.table.available_rows(now)
         if not rows:
             self._call_reports(now)
             return
-        for waiting in self._state.queue.picks(now):
+        for waiting in self._state.queue.candidates(now):
             job = self._state.jobs[waiting.submission]
             self._place_job(now, job)
-            rows = self._state.table.open_rows(now)
+            rows = self._state.table.available_rows(now)
             if not rows:
                 break
         if self._state.queue.tasks:
@@ -47,7 +47,9 @@
             row = self._choose(now, job)
             if row is None:
                 return
-            count = min(len(waiting.tasks), row.fits(job.service.memory_mb))
+            count = min(
+                len(waiting.tasks), row.task_capacity(job.service.memory_mb)
+            )
             count = int(min(count, room))
             self.send_start(now, job, row, count)
 
@@ -55,17 +57,17 @@
         self, now: float, job: _jobs.Job
     ) -> placement.EndpointRow | None:
         slots = max(1, self._state.table.slots)
-        wish = placement.Wish(
+        wish = placement.PlacementRequest(
             job.waiting.expected_s,
             self._state.normal_slowness,
             _SLOW_SLOT_WAIT * self._state.queue.work_s / slots,
             job.zones,
             job.service.memory_mb,
             self._state.identity.zone,
-            self._state.favourites if not job.front else frozenset(),
+            self._state.preferred_endpoints if not job.front else frozenset(),
             self._state.agent_sets.get(job.front),
         )
-        rows = self._state.table.open_rows(now)
+        rows = self._state.table.available_rows(now)
         return placement.choose_endpoint(rows, self._state.run_times, wish)
 
     def send_start(
@@ -151,15 +153,15 @@
 
     def send_probes(self, now: float) -> None:
         """Try endpoints whose ejection is over with one task each."""
-        if not self._state.judge.held:
+        if not self._state.health_tracker.held:
             return
-        self._state.judge.probes_due(now)
+        self._state.health_tracker.probes_due(now)
         for row in self._state.table:
             if not row.ejected or not row.connected:
                 continue
             if row.leaving or row.cordoned:
                 continue
-            match self._state.judge.state(row.name):
+            match self._state.health_tracker.state(row.name):
                 case health.Healthy():
                     row.ejected = False
                     self._state.table.refresh(row)
@@ -170,10 +172,10 @@
 
     def _probe(self, now: float, row: placement.EndpointRow) -> None:
         """Send one repeatable waiting task to an endpoint on trial."""
-        for waiting in self._state.queue.picks(now):
+        for waiting in self._state.queue.candidates(now):
             job = self._state.jobs[waiting.submission]
             allowed = self._state.may_use(job, row)
             if job.message.repeatable and allowed and not row.bound:
-                self._state.judge.probe_sent(row.name)
+                self._state.health_tracker.probe_sent(row.name)
                 self.send_start(now, job, row, 1)
                 return
--- a/src/ferryledge/core/_pool_state.py
+++ b/src/ferryledge/core/_pool_state.py
@@ -38,8 +38,8 @@
     run_times: placement.RunTimes = dataclasses.field(
         default_factory=placement.RunTimes
     )
-    judge: health.HealthJudge = dataclasses.field(
-        default_factory=health.HealthJudge
+    health_tracker: health.HealthTracker = dataclasses.field(
+        default_factory=health.HealthTracker
     )
     quotas: limits.QuotaShares = dataclasses.field(
         default_factory=limits.QuotaShares
@@ -50,7 +50,7 @@
         default_factory=dict
     )
     #: Endpoints to use first for jobs of this entry's own clients.
-    favourites: frozenset[str] = frozenset()
+    preferred_endpoints: frozenset[str] = frozenset()
     #: Whether others hand their jobs to this entry.
     owns_pool: bool = True
     #: Whether some results may be reported only with others.
@@ -73,7 +73,7 @@
 
     def spread(self, base_s: float) -> float:
         """Return a delay for a refusal, spread among those refused."""
-        return limits.spread_delay(
+        return limits.jittered_delay(
             base_s, self.options.max_retry_after_s, self.rng
         )
 
--- a/src/ferryledge/core/_routing.py
+++ b/src/ferryledge/core/_routing.py
@@ -110,7 +110,7 @@
         entries = {
             peer.name: peer
             for peer in self._peers.of_role(wire.Role.ENTRY)
-            if not (peer.leaving or peer.doubted)
+            if not (peer.leaving or peer.is_suspect)
         }
         names = list(entries)
         if not self.draining:
--- a/src/ferryledge/core/_rulebook.py
+++ b/src/ferryledge/core/_rulebook.py
@@ -20,7 +20,7 @@
         self._services: dict[str, configlog.Service] = {}
         self._places: dict[str, configlog.Place] = {}
         self._workspaces: dict[str, configlog.Workspace] = {}
-        self._rules: dict[str, policy.Rules] = {}
+        self._rules: dict[str, policy.CompiledPolicy] = {}
         #: Availability zones that take no new work.
         self.cordons = frozenset(
             one.name for one in snapshot.of_kind("cordon")
@@ -78,14 +78,14 @@
         """Return the quota of each workspace in slots; 0 is no limit."""
         return {t.name: t.quota_slots for t in self._workspaces.values()}
 
-    def judge(
+    def evaluate(
         self, service: configlog.Service, facts: policy.Facts
-    ) -> policy.Ruling:
+    ) -> policy.Decision:
         """Let the service's policy weigh a job."""
         rules = self._rules.get(service.policy)
         if rules is None:
-            return policy.Ruling(facts.urgency)
-        ruling = rules.judge(facts)
+            return policy.Decision(facts.urgency)
+        ruling = rules.evaluate(facts)
         if ruling.failures:
             self._note_failure(service.policy)
         return ruling
@@ -131,7 +131,7 @@
 
     def _compile(self, entity: configlog.Policy) -> None:
         try:
-            self._rules[entity.name] = policy.Rules(entity)
+            self._rules[entity.name] = policy.CompiledPolicy(entity)
         except policy.PolicyError:
             self._note_failure(entity.name)
 
--- a/src/ferryledge/core/_scheduler.py
+++ b/src/ferryledge/core/_scheduler.py
@@ -48,7 +48,9 @@
         rng: random.Random,
         trace: _trace.Trace,
     ) -> None:
-        queue = placement.WaitingQueue(options.age_bound_s, self._handicap)
+        queue = placement.WaitingQueue(
+            options.age_bound_s, self._fair_share_penalty
+        )
         self._state = _pool_state.PoolState(
             identity, options, peers, rng, trace, queue
         )
@@ -72,11 +74,11 @@
         self._seen: dict[str, ledger.SeenNumbers] = {}
         self._next_sweep = 0.0
 
-    def _handicap(self, workspace: str) -> float:
+    def _fair_share_penalty(self, workspace: str) -> float:
         """Return how far its use of slots puts a workspace's jobs back."""
         rulebook = self._state.rulebook
         active = self._state.quotas.active() | {workspace}
-        return limits.handicap(
+        return limits.fair_share_penalty(
             self._state.quotas.used(workspace),
             rulebook.weight(workspace),
             sum(rulebook.weight(name) for name in active),
@@ -109,9 +111,9 @@
         return self._state.run_times
 
     @property
-    def judge(self) -> health.HealthJudge:
+    def health_tracker(self) -> health.HealthTracker:
         """The judge of the endpoints' health."""
-        return self._state.judge
+        return self._state.health_tracker
 
     def configure(self, rulebook: _rulebook.Rulebook) -> None:
         """Put a newer configuration in force."""
@@ -142,11 +144,11 @@
 
         A repeat must not run again, not even after its job has ended.
         """
-        front = ledger.front_of(submission)
+        front = ledger.submission_front(submission)
         seen = self._seen.get(front)
         if seen is None:
             seen = self._seen[front] = ledger.SeenNumbers()
-        return seen.add(ledger.number_of(submission))
+        return seen.add(ledger.submission_number(submission))
 
     def cancel(self, now: float, front: str, submission: str) -> None:
         """End a job that its front no longer wants."""
@@ -175,27 +177,29 @@
         :param through: number of its last submission that is given up
         """
         for job in list(self._state.jobs.values()):
-            number = ledger.number_of(job.submission)
+            number = ledger.submission_number(job.submission)
             if job.front == front and number <= through:
                 self.answering.forget(job)
 
     def share(
         self,
-        favourites: frozenset[str],
+        preferred_endpoints: frozenset[str],
         owns_pool: bool,
         pool: frozenset[str] | None,
     ) -> None:
         """Say which endpoints fall to this entry.
 
-        :param favourites: used for jobs that it does not hand over
+        :param preferred_endpoints: used for jobs that it does not hand over
         :param owns_pool: whether others hand their jobs to this entry
         :param pool: those of its pools; none is all
         """
-        self._state.favourites = favourites
+        self._state.preferred_endpoints = preferred_endpoints
         self._state.owns_pool = owns_pool
         for row in self._state.table:
-            row.mine = (
-                pool is None or row.name in pool or row.name in favourites
+            row.assigned = (
+                pool is None
+                or row.name in pool
+                or row.name in preferred_endpoints
             )
             self._state.table.refresh(row)
         share = 1.0
@@ -212,7 +216,7 @@
         if self._state.queue.tasks:
             return False
         free = slots = 0
-        for name in self._state.favourites:
+        for name in self._state.preferred_endpoints:
             row = self._state.table.find(name)
             if row is not None and row.usable:
                 slots += min(row.slots, row.connections)
--- a/src/ferryledge/core/_task_ends.py
+++ b/src/ferryledge/core/_task_ends.py
@@ -89,8 +89,8 @@
         row = self._state.table.find(agent)
         if row is not None:
             row.progress_at = now
-            if row.doubted:
-                row.doubted = False
+            if row.is_suspect:
+                row.is_suspect = False
                 self._state.table.refresh(row)
         if binding is not None:
             job = self._state.jobs.get(binding.submission)
@@ -126,8 +126,10 @@
         if job is None:
             return
         service = job.message.service
-        self._state.judge.ended(row.name, service, submission, ok, now)
-        state = self._state.judge.state(row.name)
+        self._state.health_tracker.ended(
+            row.name, service, submission, ok, now
+        )
+        state = self._state.health_tracker.state(row.name)
         row.ejected = not isinstance(state, health.Healthy)
         self._state.table.refresh(row)
 
@@ -192,7 +194,7 @@
         row: placement.EndpointRow,
         message: wire.TasksReleased,
     ) -> None:
-        self._state.judge.probe_lost(row.name)
+        self._state.health_tracker.probe_lost(row.name)
         match message.reason:
             case wire.ReleaseReason.LEAVING:
                 row.leaving = True
--- a/src/ferryledge/core/_ticketing.py
+++ b/src/ferryledge/core/_ticketing.py
@@ -82,7 +82,7 @@
             return False
         slow = self._state.run_times.slowness(arbiter.name)
         normal = slow < placement.NORMAL_SLOWNESS * self._state.normal_slowness
-        room = arbiter.fits(job.service.memory_mb)
+        room = arbiter.task_capacity(job.service.memory_mb)
         return normal and room >= job.size
 
     def on_verdict(self, now: float, message: wire.Verdict) -> None:
--- a/src/ferryledge/entry/_status.py
+++ b/src/ferryledge/entry/_status.py
@@ -107,7 +107,7 @@
                 "bound": len(row.bound),
                 "usable": row.usable,
                 "leaving": row.leaving,
-                "doubted": row.doubted,
+                "doubted": row.is_suspect,
                 "ejected": row.ejected,
                 "slowness": round(
                     entry.scheduler.run_times.slowness(row.name), 2
--- a/src/ferryledge/health/__init__.py
+++ b/src/ferryledge/health/__init__.py
@@ -5,27 +5,27 @@
 from ferryledge import _lazy
 
 if typing.TYPE_CHECKING:
-    from ferryledge.health import _judge
     from ferryledge.health import _rate
+    from ferryledge.health import _tracker
 
     DECAY = _rate.DECAY
     EJECT_AT = _rate.EJECT_AT
-    Ejected = _judge.Ejected
+    Ejected = _tracker.Ejected
     FailureRate = _rate.FailureRate
-    Health = _judge.Health
-    HealthJudge = _judge.HealthJudge
-    HealthOptions = _judge.HealthOptions
-    Healthy = _judge.Healthy
-    Probing = _judge.Probing
+    Health = _tracker.Health
+    HealthTracker = _tracker.HealthTracker
+    HealthOptions = _tracker.HealthOptions
+    Healthy = _tracker.Healthy
+    Probing = _tracker.Probing
 else:
     # An agent counts failures; it judges nobody.
     __getattr__ = _lazy.attach(
         __name__,
         {
-            "_judge": (
+            "_tracker": (
                 "Ejected",
                 "Health",
-                "HealthJudge",
+                "HealthTracker",
                 "HealthOptions",
                 "Healthy",
                 "Probing",
@@ -40,7 +40,7 @@
     "Ejected",
     "FailureRate",
     "Health",
-    "HealthJudge",
+    "HealthTracker",
     "HealthOptions",
     "Healthy",
     "Probing",
--- a/src/ferryledge/health/_judge.py
+++ b/src/ferryledge/health/_tracker.py
@@ -21,9 +21,9 @@
     #: Largest share of the endpoints that are ejected at once.
     max_ejected: float = 0.34
     #: First ejection in seconds; doubles each time.
-    first_ejection_s: float = 1.0
+    base_ejection_s: float = 1.0
     #: Longest ejection in seconds.
-    longest_ejection_s: float = 60.0
+    max_ejection_s: float = 60.0
     #: Seconds without an ejection after which the next is a first one again.
     forget_after_s: float = 20.0
 
@@ -78,7 +78,7 @@
         return is_news
 
 
-class HealthJudge:
+class HealthTracker:
     """Keeps each endpoint's failure rate and state.
 
     :param options: when to eject
@@ -226,8 +226,8 @@
             row.ejections = 0
         self._held.add(endpoint)
         row.ejections += 1
-        length = options.first_ejection_s * 2.0 ** (row.ejections - 1)
-        until = now + min(length, options.longest_ejection_s)
+        length = options.base_ejection_s * 2.0 ** (row.ejections - 1)
+        until = now + min(length, options.max_ejection_s)
         row.state = Ejected(until)
         row.admitted_at = until
 
--- a/src/ferryledge/health/tests/test_told.py
+++ b/src/ferryledge/health/tests/test_told.py
@@ -9,27 +9,27 @@
 
 
 @pytest.fixture
-def judge() -> health.HealthJudge:
+def judge() -> health.HealthTracker:
     """Return a judge of nine endpoints of which nothing is known."""
-    made = health.HealthJudge()
+    made = health.HealthTracker()
     for name in _ENDPOINTS:
         made.join(name)
     return made
 
 
-def _is_out(judge: health.HealthJudge, endpoint: str) -> bool:
+def _is_out(judge: health.HealthTracker, endpoint: str) -> bool:
     return isinstance(judge.state(endpoint), health.Ejected)
 
 
 def test_endpoint_that_fails_others_gets_nothing(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_BAD, 0.6, 3, 1.0)
     assert _is_out(judge, _BAD)
 
 
 def test_what_fails_everywhere_is_no_endpoints_fault(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     for name in _ENDPOINTS:
         judge.told(name, 0.5, 0, 1.0)
@@ -38,7 +38,7 @@
     assert not any(_is_out(judge, name) for name in _ENDPOINTS)
 
 
-def test_no_more_than_a_third_is_out(judge: health.HealthJudge) -> None:
+def test_no_more_than_a_third_is_out(judge: health.HealthTracker) -> None:
     for name in _ENDPOINTS[:5]:
         judge.told(name, 1.0, 9, 1.0)
     out = [name for name in _ENDPOINTS if _is_out(judge, name)]
@@ -46,7 +46,7 @@
 
 
 def test_old_failures_do_not_speak_against_a_probe(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_BAD, 0.6, 3, 1.0)
     assert judge.probes_due(2.1) == [_BAD]
@@ -59,7 +59,7 @@
 
 
 def test_news_of_failures_spares_the_own_probe(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_BAD, 0.6, 3, 1.0)
     judge.probes_due(2.1)
@@ -68,7 +68,7 @@
 
 
 def test_endpoint_that_does_well_for_others_is_used_at_once(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_BAD, 0.6, 3, 1.0)
     judge.told(_BAD, 0.0, 0, 1.4)
@@ -76,7 +76,7 @@
 
 
 def test_agent_that_starts_anew_counts_from_nothing(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     judge.told(_BAD, 0.6, 30, 1.0)
     judge.told(_BAD, 0.0, 0, 1.4)
@@ -85,7 +85,7 @@
 
 
 def test_ejections_that_are_long_over_are_forgotten(
-    judge: health.HealthJudge,
+    judge: health.HealthTracker,
 ) -> None:
     failures = 0
     for at in (1.0, 5.0, 60.0):
--- a/src/ferryledge/hosted/_agent.py
+++ b/src/ferryledge/hosted/_agent.py
@@ -120,7 +120,7 @@
             group.cancel_scope.cancel()
 
     def _hello(self) -> wire.Hello:
-        narrow = leases.is_narrow(self._settings.link_bytes_per_s)
+        narrow = leases.is_narrow_link(self._settings.link_bytes_per_s)
         return msgspec.structs.replace(
             self._core.hello(), reads_configs=not narrow
         )
@@ -141,7 +141,7 @@
     async def _recall_endpoint(self) -> None:
         seen = await self._memory.recall()
         if seen is not None:
-            self._driver.post(leases.EndpointRecalled(seen))
+            self._driver.post(leases.EndpointRestored(seen))
 
     async def _find_entries(self) -> None:
         assert self._group is not None
@@ -203,7 +203,7 @@
         )
 
     def _ticked(self) -> None:
-        self._log.write(self._driver.now(), self._core.take_notes())
+        self._log.write(self._driver.now(), self._core.pop_notes())
 
     def _perform(self, action: leases.AgentAction) -> None:
         assert self._group is not None
@@ -216,7 +216,7 @@
                 self._group.start_soon(self._stop, action)
             case leases.ListRuns(renewal):
                 self._group.start_soon(self._list_runs, renewal)
-            case leases.RememberEndpoint(seen):
+            case leases.SaveEndpoint(seen):
                 self._memory.remember(seen)
             case _:
                 self._change_streams(self._group, action)
@@ -229,12 +229,12 @@
                 self._mesh.close(peer)
             case leases.ReopenStream(peer):
                 group.start_soon(self._mesh.reopen, peer)
-            case leases.KeepStream(peer):
+            case leases.CancelReopen(peer):
                 self._mesh.keep(peer)
             case leases.DialEntries(entries):
                 self._dialler.forget_seeds()
                 self._dialler.dial(group, entries)
-            case leases.LeaveEntry(name):
+            case leases.DisconnectEntry(name):
                 self._dialler.leave(name)
 
     async def _start(self, order: leases.StartRun) -> None:
--- a/src/ferryledge/hosted/_config_reader.py
+++ b/src/ferryledge/hosted/_config_reader.py
@@ -109,7 +109,7 @@
         digest = self._exchange.digest
         if not digest or self._entries[peer] == digest:
             return
-        delta = self._exchange.answer(self._entries[peer])
+        delta = self._exchange.delta_for(self._entries[peer])
         self._entries[peer] = digest
         self._send(peer, delta)
         loguru.logger.info(
--- a/src/ferryledge/hosted/_entry.py
+++ b/src/ferryledge/hosted/_entry.py
@@ -71,7 +71,7 @@
             leases.LeaseTiming.within(
                 settings.longest_lease_s, settings.stop_s
             ),
-            far_factor=settings.bounds.far_x,
+            remote_factor=settings.bounds.far_x,
             meter=_metrics.EntryMetrics(self._registry),
             link_bytes_per_s=settings.link_bytes_per_s,
             rules=leases.EntryRules(hands_on=hands_on),
@@ -208,7 +208,7 @@
         )
 
     def _ticked(self) -> None:
-        self._log.write(self._driver.now(), self._core.take_notes())
+        self._log.write(self._driver.now(), self._core.pop_notes())
 
     def _perform(self, action: leases.EntryAction) -> None:
         assert self._group is not None
--- a/src/ferryledge/hosted/_entry_config.py
+++ b/src/ferryledge/hosted/_entry_config.py
@@ -30,16 +30,16 @@
     @property
     def present(self) -> bool:
         """Whether some agent reads for this entry."""
-        return bool(self._core.peers.reader)
+        return bool(self._core.peers.config_reader)
 
     def missed(self) -> None:
         """Let another agent read from now on."""
         loguru.logger.warning(
             "configuration not brought",
             step="config",
-            peer=self._core.peers.reader,
+            peer=self._core.peers.config_reader,
         )
-        self._post(leases.ConfigNotBrought())
+        self._post(leases.ConfigFetchFailed())
 
 
 class EntryConfig:
--- a/src/ferryledge/hosted/_memory.py
+++ b/src/ferryledge/hosted/_memory.py
@@ -35,10 +35,10 @@
         self._store = store
         self._name = name
         self._partition = zlib.crc32(name.encode()) % max(1, partitions)
-        self._wanted: leases.EndpointSeen | None = None
+        self._wanted: leases.EndpointHeartbeat | None = None
         self._changed = anyio.Event()
 
-    async def recall(self) -> leases.EndpointSeen | None:
+    async def recall(self) -> leases.EndpointHeartbeat | None:
         """Return what an earlier start kept; none if nothing was."""
         page = await _members.until_answered(
             lambda: self._store.newest(ENDPOINTS_TOPIC, self._partition)
@@ -48,7 +48,7 @@
                 return _decode(record)
         return None
 
-    def remember(self, seen: leases.EndpointSeen) -> None:
+    def remember(self, seen: leases.EndpointHeartbeat) -> None:
         """Keep this as soon as the store takes it; the last one counts."""
         self._wanted = seen
         self._changed.set()
@@ -70,9 +70,9 @@
                 await anyio.sleep(_members.RETRY_S)
 
 
-def _decode(record: platform.KeyedRecord) -> leases.EndpointSeen | None:
+def _decode(record: platform.KeyedRecord) -> leases.EndpointHeartbeat | None:
     try:
-        return msgspec.json.decode(record.value, type=leases.EndpointSeen)
+        return msgspec.json.decode(record.value, type=leases.EndpointHeartbeat)
     except msgspec.DecodeError as exc:
         loguru.logger.warning("bad record: {}", exc, peer=record.key)
         return None
--- a/src/ferryledge/hosted/_metrics.py
+++ b/src/ferryledge/hosted/_metrics.py
@@ -140,7 +140,7 @@
         """Count a job's first order."""
         self._first.observe(waited_s)
 
-    def put_back(self) -> None:
+    def deferred(self) -> None:
         """Count a job that waits behind those in time."""
         self._put_back.add()
 
@@ -160,7 +160,7 @@
         """Count a move."""
         self._moved.add()
 
-    def retry_waits(self) -> None:
+    def retry_delayed(self) -> None:
         """Count a second try that waits."""
         self._retries.add()
 
@@ -215,7 +215,7 @@
         self._over.add(1, str(how))
         self._held.observe(held_s)
 
-    def unanswered(self) -> None:
+    def order_unanswered(self) -> None:
         """Count an order without an answer."""
         self._unanswered.add()
 
@@ -223,15 +223,15 @@
         """Count an outage of the endpoint."""
         self._outages.add()
 
-    def suspected(self) -> None:
+    def stream_suspected(self) -> None:
         """Count a stream taken for silent."""
         self._suspected.add()
 
-    def heartbeat_passed_over(self) -> None:
+    def heartbeat_ignored(self) -> None:
         """Count a heartbeat that is not believed, or not yet."""
         self._heartbeats.add()
 
-    def grant_ran_out(self) -> None:
+    def grant_expired(self) -> None:
         """Count a run stopped for want of a grant."""
         self._grants.add()
 
--- a/src/ferryledge/hosted/tests/test_memory.py
+++ b/src/ferryledge/hosted/tests/test_memory.py
@@ -12,7 +12,7 @@
 from ferryledge.platform import standin as platform_standin
 from ferryledge import wire
 
-_SEEN = leases.EndpointSeen(
+_SEEN = leases.EndpointHeartbeat(
     "i-1",
     "desk",
     "127.0.0.1:1",
@@ -51,7 +51,7 @@
 
 async def _recall_until_found(
     memory: _memory.EndpointMemory,
-) -> leases.EndpointSeen:
+) -> leases.EndpointHeartbeat:
     while True:
         seen = await memory.recall()
         if seen is not None:
@@ -74,7 +74,7 @@
     async def use(memory: _memory.EndpointMemory) -> None:
         memory.remember(_SEEN)
         seen = await _recall_until_found(memory)
-        assert seen.describes_as(_SEEN)
+        assert seen.has_same_description(_SEEN)
 
     _with_memory(server, use)
 
@@ -89,7 +89,7 @@
         await anyio.sleep(0.1)
         server.behaviour = platform_standin.StoreBehaviour.UP
         seen = await _recall_until_found(memory)
-        assert seen.describes_as(_SEEN)
+        assert seen.has_same_description(_SEEN)
 
     _with_memory(server, use)
 
--- a/src/ferryledge/hosted/tests/test_starts.py
+++ b/src/ferryledge/hosted/tests/test_starts.py
@@ -23,7 +23,7 @@
     "ferryledge.core",
 )
 _NO_AGENT = (
-    "ferryledge.health._judge",
+    "ferryledge.health._tracker",
     "ferryledge.leases._entry",
     "ferryledge.leases._jobs",
     "ferryledge.limits",
--- a/src/ferryledge/leases/__init__.py
+++ b/src/ferryledge/leases/__init__.py
@@ -15,8 +15,8 @@
     from ferryledge.leases import _config_readers
     from ferryledge.leases import _entry
     from ferryledge.leases import _entry_events
+    from ferryledge.leases import _incarnations
     from ferryledge.leases import _jobs
-    from ferryledge.leases import _lives
     from ferryledge.leases import _meters
     from ferryledge.leases import _rules
     from ferryledge.leases import _runs
@@ -32,13 +32,13 @@
     ClientLeft = _entry_events.ClientLeft
     CloseStream = _agent_events.CloseStream
     ConfigExchange = _config_exchange.ConfigExchange
-    ConfigNotBrought = _entry_events.ConfigNotBrought
+    ConfigFetchFailed = _entry_events.ConfigFetchFailed
     ConfigRead = _entry_events.ConfigRead
     CordonsRead = _entry_events.CordonsRead
     DialEntries = _agent_events.DialEntries
     EndpointLeft = _agent_events.EndpointLeft
-    EndpointRecalled = _agent_events.EndpointRecalled
-    EndpointSeen = _agent_events.EndpointSeen
+    EndpointRestored = _agent_events.EndpointRestored
+    EndpointHeartbeat = _agent_events.EndpointHeartbeat
     EntriesFound = _agent_events.EntriesFound
     EntryAction = _entry_events.EntryAction
     EntryDrain = _entry_events.EntryDrain
@@ -50,8 +50,8 @@
     JobClass = _jobs.JobClass
     JobStep = _jobs.JobStep
     JobSubmitted = _entry_events.JobSubmitted
-    KeepStream = _agent_events.KeepStream
-    LeaveEntry = _agent_events.LeaveEntry
+    CancelReopen = _agent_events.CancelReopen
+    DisconnectEntry = _agent_events.DisconnectEntry
     LeaseAgent = _agent.LeaseAgent
     LeaseEntry = _entry.LeaseEntry
     LeaseNotRenewed = _agent_events.LeaseNotRenewed
@@ -61,7 +61,7 @@
     ListRuns = _agent_events.ListRuns
     ListedEnd = _agent_events.ListedEnd
     ListedRun = _agent_events.ListedRun
-    RememberEndpoint = _agent_events.RememberEndpoint
+    SaveEndpoint = _agent_events.SaveEndpoint
     Renewal = _agent_events.Renewal
     ReopenStream = _agent_events.ReopenStream
     RunKey = _runs.RunKey
@@ -71,9 +71,9 @@
     StartRun = _agent_events.StartRun
     StopAnswered = _agent_events.StopAnswered
     StopRun = _agent_events.StopRun
-    endpoint_id_of = _lives.endpoint_id_of
-    incarnation_of = _lives.incarnation_of
-    is_narrow = _config_readers.is_narrow
+    endpoint_id_of = _incarnations.endpoint_id_of
+    incarnation_of = _incarnations.incarnation_of
+    is_narrow_link = _config_readers.is_narrow_link
 else:
     # An agent needs nothing of an entry, nor an entry of an agent.
     __getattr__ = _lazy.attach(
@@ -88,17 +88,17 @@
                 "CloseStream",
                 "DialEntries",
                 "EndpointLeft",
-                "EndpointRecalled",
-                "EndpointSeen",
+                "EndpointRestored",
+                "EndpointHeartbeat",
                 "EntriesFound",
-                "KeepStream",
+                "CancelReopen",
                 "LeaseNotRenewed",
                 "LeaseRenewed",
-                "LeaveEntry",
+                "DisconnectEntry",
                 "ListRuns",
                 "ListedEnd",
                 "ListedRun",
-                "RememberEndpoint",
+                "SaveEndpoint",
                 "Renewal",
                 "ReopenStream",
                 "SendMessage",
@@ -109,13 +109,13 @@
                 "StopRun",
             ),
             "_config_exchange": ("ConfigExchange",),
-            "_config_readers": ("is_narrow",),
+            "_config_readers": ("is_narrow_link",),
             "_entry": ("LeaseEntry",),
             "_entry_events": (
                 "AnswerJob",
                 "ApplyConfig",
                 "ClientLeft",
-                "ConfigNotBrought",
+                "ConfigFetchFailed",
                 "ConfigRead",
                 "CordonsRead",
                 "EntryAction",
@@ -130,7 +130,7 @@
                 "JobStep",
                 "LeasedJob",
             ),
-            "_lives": (
+            "_incarnations": (
                 "endpoint_id_of",
                 "incarnation_of",
             ),
@@ -152,16 +152,18 @@
     "AnswerJob",
     "ApplyConfig",
     "CallFault",
+    "CancelReopen",
     "ClientLeft",
     "CloseStream",
     "ConfigExchange",
-    "ConfigNotBrought",
+    "ConfigFetchFailed",
     "ConfigRead",
     "CordonsRead",
     "DialEntries",
+    "DisconnectEntry",
+    "EndpointHeartbeat",
     "EndpointLeft",
-    "EndpointRecalled",
-    "EndpointSeen",
+    "EndpointRestored",
     "EntriesFound",
     "EntryAction",
     "EntryDrain",
@@ -173,21 +175,19 @@
     "JobClass",
     "JobStep",
     "JobSubmitted",
-    "KeepStream",
     "LeaseAgent",
     "LeaseEntry",
     "LeaseNotRenewed",
     "LeaseRenewed",
     "LeaseTiming",
     "LeasedJob",
-    "LeaveEntry",
     "ListRuns",
     "ListedEnd",
     "ListedRun",
-    "RememberEndpoint",
     "Renewal",
     "ReopenStream",
     "RunKey",
+    "SaveEndpoint",
     "SendMessage",
     "StartAnswered",
     "StartResult",
@@ -196,5 +196,5 @@
     "StopRun",
     "endpoint_id_of",
     "incarnation_of",
-    "is_narrow",
+    "is_narrow_link",
 ]
--- a/src/ferryledge/leases/_admission.py
+++ b/src/ferryledge/leases/_admission.py
@@ -9,13 +9,13 @@
 import random
 
 from ferryledge.leases import _jobs
-from ferryledge.leases import _own_link
-from ferryledge.leases import _placing
+from ferryledge.leases import _placement
 from ferryledge.leases import _pool
-from ferryledge.leases import _returns
+from ferryledge.leases import _pool_share
+from ferryledge.leases import _retry_schedule
 from ferryledge.leases import _rules
-from ferryledge.leases import _share
 from ferryledge.leases import _timing
+from ferryledge.leases import _uplink
 from ferryledge import limits
 from ferryledge import outcomes
 
@@ -43,19 +43,19 @@
         self,
         name: str,
         pool: _pool.Pool,
-        share: _share.Share,
-        link: _own_link.OwnLink,
+        share: _pool_share.PoolShare,
+        link: _uplink.Uplink,
         rng: random.Random,
         rules: _rules.EntryRules,
     ) -> None:
         self._name = name
         self._rules = rules
         self._pool = pool
-        self._share = share
+        self._pool_share = share
         self._link = link
         self._rng = rng
         #: Retry times of refused clients.
-        self.returns = _returns.Returns(rng)
+        self.retry_schedule = _retry_schedule.RetrySchedule(rng)
         self._ends_at = float("inf")
 
     def close(self, ends_at: float) -> None:
@@ -91,7 +91,7 @@
 
     def _unfit(self, job: _jobs.Job) -> outcomes.Refused | None:
         """Return a refusal if some step fits no endpoint, else ``None``."""
-        if not _placing.is_unfit(self._pool, job):
+        if not _placement.is_infeasible(self._pool, job):
             return None
         return self._refuse(
             outcomes.Reason.IMPOSSIBLE,
@@ -131,11 +131,11 @@
             )
         return None
 
-    def judge(
+    def refuse_if_too_late(
         self,
         now: float,
         job: _jobs.Job,
-        room_in: abc.Callable[[float], float],
+        queueing_delay: abc.Callable[[float], float],
     ) -> outcomes.Refused | None:
         """Return a refusal for a job whose forecast answer is useless.
 
@@ -143,10 +143,10 @@
 
         :param now: monotonic seconds
         :param job: a job without orders that may be answered late
-        :param room_in: returns the delay in seconds of additional
+        :param queueing_delay: returns the delay in seconds of additional
             core-seconds of work behind all waiting work
         """
-        if self._pool.may_recover(now) and now < job.need.last_start:
+        if self._pool.may_recover(now) and now < job.demand.useful_start_by:
             return None
         unfit = self._unfit(job)
         if unfit is not None:
@@ -160,7 +160,9 @@
         reason = outcomes.Reason.CAPACITY
         if not self._rules.returns_in_order:
             return self._refuse(reason, detail)
-        delay_s = self.returns.promise(now, job.name, job.work, room_in)
+        delay_s = self.retry_schedule.schedule(
+            now, job.name, job.work, queueing_delay
+        )
         origin = outcomes.Origin(outcomes.Step.ADMIT, self._name)
         return outcomes.Refused(reason, origin, delay_s, detail)
 
@@ -170,15 +172,15 @@
         pool_cores = self._pool.capacity_cores(now, service)
         if not pool_cores:
             return float("inf")
-        sharers = self._pool.sharers(now, service)
-        cores = self._share.cores(now, pool_cores, sharers)
+        sharing_entries = self._pool.sharing_entries(now, service)
+        cores = self._pool_share.cores(now, pool_cores, sharing_entries)
         return (ahead + job.work) / cores + self._link.wait_s(now)
 
     def deadline_outcome(
         self, job: _jobs.Job
     ) -> outcomes.Refused | outcomes.FailedMayHaveRun:
         """Return the answer to a job whose deadline has passed."""
-        if job.offered_at is None:
+        if job.dispatched_at is None:
             return self._refuse(outcomes.Reason.DEADLINE, "")
         origin = outcomes.Origin(outcomes.Step.ANSWER, self._name)
         return outcomes.FailedMayHaveRun(outcomes.Reason.DEADLINE, origin)
@@ -186,6 +188,6 @@
     def _refuse(
         self, reason: outcomes.Reason, detail: str
     ) -> outcomes.Refused:
-        delay = limits.spread_delay(_RETRY_S, _LONGEST_RETRY_S, self._rng)
+        delay = limits.jittered_delay(_RETRY_S, _LONGEST_RETRY_S, self._rng)
         origin = outcomes.Origin(outcomes.Step.ADMIT, self._name)
         return outcomes.Refused(reason, origin, delay, detail)
--- a/src/ferryledge/leases/_agent.py
+++ b/src/ferryledge/leases/_agent.py
@@ -9,18 +9,18 @@
 from ferryledge.leases import _agent_events
 from ferryledge.leases import _agent_notes
 from ferryledge.leases import _answer_times
-from ferryledge.leases import _asking
 from ferryledge.leases import _cordons
-from ferryledge.leases import _dealing
 from ferryledge.leases import _endpoint
 from ferryledge.leases import _endpoint_watch
+from ferryledge.leases import _entry_selection
+from ferryledge.leases import _grant_requests
 from ferryledge.leases import _meters
 from ferryledge.leases import _notes
 from ferryledge.leases import _owners
 from ferryledge.leases import _reports
+from ferryledge.leases import _run_stopper
 from ferryledge.leases import _runs
 from ferryledge.leases import _speed
-from ferryledge.leases import _stopping
 from ferryledge.leases import _stream_watch
 from ferryledge.leases import _timing
 from ferryledge import wire
@@ -56,14 +56,16 @@
         self._runs = _runs.RunTable()
         self._notes = _agent_notes.AgentNotes(meter or _meters.AgentMeter())
         self._owners = _owners.OwnerTable(self._timing, name)
-        self._dealing = _dealing.Dealing(name)
+        self._entry_selection = _entry_selection.Dealing(name)
         self._actions: list[_agent_events.AgentAction] = []
         self._cordons = _cordons.Cordons()
         self._acceptance = _acceptance.Acceptance(
             self._link, self._runs, self._owners, self._cordons, zone
         )
-        self._answer_times = _answer_times.AnswerTimes(self._timing.order_s)
-        self._stopping = _stopping.Stopping(
+        self._answer_times = _answer_times.AnswerTimes(
+            self._timing.order_timeout_s
+        )
+        self._run_stopper = _run_stopper.RunStopper(
             self._runs,
             self._link,
             self._owners,
@@ -78,14 +80,14 @@
         self._watch = _stream_watch.StreamWatch(
             self._owners, self._notes, self._act
         )
-        self._asking = _asking.Asking(
+        self._grant_requests = _grant_requests.Asking(
             self._owners, self._runs, self._watch, self._act
         )
         self._endpoint = _endpoint_watch.EndpointWatch(
             self._runs,
             self._link,
             self._owners,
-            self._stopping,
+            self._run_stopper,
             self._reports,
             self._notes,
             self._answer_times,
@@ -116,7 +118,7 @@
         """Whether nothing runs here."""
         return not len(self._runs)
 
-    def take_notes(self) -> list[_notes.Note]:
+    def pop_notes(self) -> list[_notes.Note]:
         """Return what was decided since the last call, for the log."""
         return self._notes.take()
 
@@ -138,11 +140,11 @@
         """Take in one event."""
         self._now = now
         was_open = self._acceptance.is_open(now)
-        speed = self._endpoint.speed.reported
+        speed = self._endpoint.speed.reported_slowness
         self._take_in(now, event)
         changed = (
             was_open != self._acceptance.is_open(now)
-            or speed != self._endpoint.speed.reported
+            or speed != self._endpoint.speed.reported_slowness
         )
         if self._actions or changed or not self._is_quiet(event):
             self._tick_by = now
@@ -159,7 +161,10 @@
             case _agent_events.StartAnswered():
                 return event.result is _agent_events.StartResult.STARTED
             case _agent_events.LeaseRenewed(ended=()):
-                return self._endpoint.speed.reported < _speed.SLOW_FROM
+                return (
+                    self._endpoint.speed.reported_slowness
+                    < _speed.SLOW_THRESHOLD
+                )
             case _:
                 return False
 
@@ -170,12 +175,12 @@
                     self._owners.join(
                         now, hello.name, hello.incarnation, hello.zone
                     )
-                    self._dealing.join(now, hello.name)
+                    self._entry_selection.join(now, hello.name)
             case wire.PeerDown(name, incarnation):
                 self._owners.leave(name, incarnation)
-                self._dealing.leave(now, name)
+                self._entry_selection.leave(now, name)
             case _agent_events.EntriesFound(entries):
-                self._dealing.learn(now, entries)
+                self._entry_selection.learn(now, entries)
             case wire.Received(peer, message):
                 self._on_message(now, peer, message)
             case _agent_events.AgentDrain(until):
@@ -188,13 +193,13 @@
         self._now = now
         self._tick_by = _NEVER
         self._endpoint.check(now)
-        self._stopping.tick(now, self._endpoint.unclaimed_since)
+        self._run_stopper.tick(now, self._endpoint.unclaimed_since)
         if self._link.synced:
             self._reports.tell_held()
-        for action in self._dealing.plan(now, self._is_busy):
+        for action in self._entry_selection.plan(now, self._is_busy):
             self._notes.dealt(action, len(self._owners.connected))
             self._act(action)
-        self._asking.tick(now)
+        self._grant_requests.tick(now)
         self._reports.tell_late(now, self._endpoint.speed)
         self._reports.tell_state(now, self._state())
         actions = self._actions
@@ -205,14 +210,14 @@
         """Return when to tick at the latest."""
         due = min(
             self._owners.ask_due_at,
-            self._stopping.due_at(),
+            self._run_stopper.due_at(),
             self._reports.due_at,
             self._watch.due_at(),
-            self._dealing.due_at,
+            self._entry_selection.due_at,
             self._endpoint.outages.due_at(self._now),
             self._tick_by,
         )
-        self._watch.plan_look(due)
+        self._watch.note_next_tick(due)
         return due
 
     def tick_by(self) -> float:
@@ -252,20 +257,22 @@
                 self._on_order(now, owner, message)
             case wire.StopRuns(job, runs):
                 for run in runs:
-                    self._stopping.stop(now, _runs.RunKey.of(job, run), owner)
+                    self._run_stopper.stop(
+                        now, _runs.RunKey.of(job, run), owner
+                    )
             case wire.ClaimRuns(runs):
                 self._on_claim(owner, runs)
             case wire.RoomWanted(start_by_s):
                 owner.wanted_by = now + (
                     _NEVER if start_by_s is None else start_by_s
                 )
-            case wire.GrantLease(number, less_ms):
-                self._watch.answered(now, owner, number)
-                self._owners.granted(owner, number, less_ms)
+            case wire.GrantLease(number, shorten_by_ms):
+                self._watch.note_answer(now, owner, number)
+                self._owners.granted(owner, number, shorten_by_ms)
             case wire.CordonedZones():
                 self._on_cordons(owner, message)
             case wire.EntryList() | wire.Invite():
-                self._dealing.hear(now, message)
+                self._entry_selection.hear(now, message)
             case _:
                 return
 
@@ -281,9 +288,9 @@
     def _on_order(
         self, now: float, owner: _owners.Owner, order: wire.OrderRuns
     ) -> None:
-        self._watch.answered(now, owner, order.ask_seen)
+        self._watch.note_answer(now, owner, order.ask_seen)
         self._owners.note_order(owner, order)
-        self._dealing.note_order(now, owner.name)
+        self._entry_selection.note_order(now, owner.name)
         refusal = self._acceptance.refusal(now, owner, order)
         if refusal is not None:
             self._refuse(now, owner, order, refusal)
@@ -342,7 +349,7 @@
             lease_until_ms,
         )
         if order.expected_s > 0.0:
-            row.pace = _speed.RunPace(order.job, order.expected_s, now)
+            row.progress = _speed.RunProgress(order.job, order.expected_s, now)
         self._runs.add(row)
         self._act(
             _agent_events.StartRun(
@@ -373,7 +380,7 @@
         """Return the endpoint's state, but for what is an entry's own."""
         seen = self._link.seen
         if seen is None:
-            return wire.EndpointState(home=False)
+            return wire.EndpointState(is_primary=False)
         return wire.EndpointState(
             seen.incarnation,
             seen.service,
@@ -382,11 +389,11 @@
             self._acceptance.free,
             self._acceptance.is_open(self._now),
             remaining_s=self._acceptance.remaining_s(self._now),
-            slowness=self._endpoint.speed.reported,
-            home=False,
+            slowness=self._endpoint.speed.reported_slowness,
+            is_primary=False,
             entries=max(1, len(self._owners.connected)),
             cold=self._link.is_cold(self._now),
-            failing=self._endpoint.evidence.told(self._now),
+            failing=self._endpoint.failure_rates.zone_failures(self._now),
             steady=self._endpoint.outages.steady(self._now),
         )
 
--- a/src/ferryledge/leases/_agent_events.py
+++ b/src/ferryledge/leases/_agent_events.py
@@ -2,12 +2,12 @@
 
 import enum
 
-from ferryledge.leases import _lives
+from ferryledge.leases import _incarnations
 from ferryledge.leases import _runs
 from ferryledge import wire
 
 
-class EndpointSeen(wire.Event, frozen=True):
+class EndpointHeartbeat(wire.Event, frozen=True):
     """The endpoint's heartbeat came."""
 
     endpoint_id: str
@@ -31,9 +31,9 @@
     @property
     def incarnation(self) -> str:
         """Which start of the endpoint this is."""
-        return _lives.incarnation_of(self.endpoint_id, self.born_ms)
+        return _incarnations.incarnation_of(self.endpoint_id, self.born_ms)
 
-    def describes_as(self, other: "EndpointSeen") -> bool:
+    def has_same_description(self, other: "EndpointHeartbeat") -> bool:
         """Return whether both say the same, but for times and numbers."""
         return (
             self.incarnation == other.incarnation
@@ -44,13 +44,13 @@
         )
 
 
-class EndpointRecalled(wire.Event, frozen=True):
+class EndpointRestored(wire.Event, frozen=True):
     """What an earlier start of this agent kept of the endpoint.
 
     It may be out of date: the endpoint's next heartbeat replaces it.
     """
 
-    seen: EndpointSeen
+    seen: EndpointHeartbeat
 
 
 class EndpointLeft(wire.Event, frozen=True):
@@ -63,7 +63,7 @@
     @property
     def incarnation(self) -> str:
         """Which start of the endpoint this is."""
-        return _lives.incarnation_of(self.endpoint_id, self.born_ms)
+        return _incarnations.incarnation_of(self.endpoint_id, self.born_ms)
 
 
 class ListedRun(wire.Event, frozen=True):
@@ -176,8 +176,8 @@
 
 AgentEvent = (
     wire.StreamEvent
-    | EndpointSeen
-    | EndpointRecalled
+    | EndpointHeartbeat
+    | EndpointRestored
     | EndpointLeft
     | LeaseRenewed
     | LeaseNotRenewed
@@ -239,7 +239,7 @@
     peer: str
 
 
-class KeepStream(wire.Event, frozen=True):
+class CancelReopen(wire.Event, frozen=True):
     """Give up the stream that is being opened: the old one answers."""
 
     peer: str
@@ -251,29 +251,29 @@
     entries: tuple[wire.EntryAddress, ...]
 
 
-class LeaveEntry(wire.Event, frozen=True):
+class DisconnectEntry(wire.Event, frozen=True):
     """Stop dialling an entry, and close the stream to it."""
 
     name: str
 
 
-class RememberEndpoint(wire.Event, frozen=True):
+class SaveEndpoint(wire.Event, frozen=True):
     """Keep this for the agent's next start."""
 
-    seen: EndpointSeen
+    seen: EndpointHeartbeat
 
 
 AgentAction = (
     SendMessage
     | CloseStream
     | ReopenStream
-    | KeepStream
+    | CancelReopen
     | DialEntries
-    | LeaveEntry
+    | DisconnectEntry
     | StartRun
     | StopRun
     | ListRuns
-    | RememberEndpoint
+    | SaveEndpoint
 )
 
 
--- a/src/ferryledge/leases/_agent_notes.py
+++ b/src/ferryledge/leases/_agent_notes.py
@@ -1,7 +1,7 @@
 """An agent's notes: what each says and which inputs it carries."""
 
 from ferryledge.leases import _agent_events
-from ferryledge.leases import _dealing
+from ferryledge.leases import _entry_selection
 from ferryledge.leases import _meters
 from ferryledge.leases import _notes
 from ferryledge.leases import _owners
@@ -22,7 +22,7 @@
         super().__init__()
         self._meter = meter
 
-    def dealt(self, action: _dealing.Action, connected: int) -> None:
+    def dealt(self, action: _entry_selection.Action, connected: int) -> None:
         """The entries that are served change.
 
         :param action: what is done
@@ -33,7 +33,7 @@
                 self._served("entries chosen", "", connected, entries)
             case _agent_events.SendMessage(peer, _):
                 self._served("entry told that it is left", peer, connected)
-            case _agent_events.LeaveEntry(name):
+            case _agent_events.DisconnectEntry(name):
                 self._served("entry left", name, connected)
 
     def _served(
@@ -106,24 +106,24 @@
             runs_here=held,
         )
 
-    def suspected(self, now: float, owner: _owners.Owner) -> None:
+    def stream_suspected(self, now: float, owner: _owners.Owner) -> None:
         """A stream may be silent: a new one is opened beside it."""
-        self._meter.suspected()
+        self._meter.stream_suspected()
         self.add(
             outcomes.Step.HEALTH,
             "no answer: opening a new stream",
             peer=owner.name,
             urgent=True,
-            unanswered_s=round(now - owner.oldest_owed_at, 3),
+            unanswered_s=round(now - owner.oldest_unanswered_at, 3),
             limit_s=round(owner.answer_times.limit_s, 3),
             unconfirmed_ends=len(owner.unconfirmed),
         )
 
-    def grant_ran_out(
+    def grant_expired(
         self, now: float, owner: _owners.Owner, row: _runs.RunRow
     ) -> None:
         """A run is stopped since its entry no longer answers for it."""
-        self._meter.grant_ran_out()
+        self._meter.grant_expired()
         self.add(
             outcomes.Step.LEASE,
             "stopped: its entry's grant ran out",
@@ -148,9 +148,9 @@
             held_s=round(now - row.ordered_at, 3),
         )
 
-    def unanswered(self, row: _runs.RunRow) -> None:
+    def order_unanswered(self, row: _runs.RunRow) -> None:
         """An order went without an answer and is taken back."""
-        self._meter.unanswered()
+        self._meter.order_unanswered()
         self.add(
             outcomes.Step.START,
             "order without an answer: stopping it",
@@ -179,7 +179,7 @@
             steady=steady,
         )
 
-    def recalled(self, seen: _agent_events.EndpointSeen) -> None:
+    def recalled(self, seen: _agent_events.EndpointHeartbeat) -> None:
         """What an earlier start kept of the endpoint is used for now."""
         self.add(
             outcomes.Step.HEALTH,
@@ -189,17 +189,17 @@
             draining=seen.draining,
         )
 
-    def passed_over(
+    def heartbeat_ignored(
         self,
-        known: _agent_events.EndpointSeen | None,
-        event: _agent_events.EndpointSeen,
+        known: _agent_events.EndpointHeartbeat | None,
+        event: _agent_events.EndpointHeartbeat,
     ) -> None:
         """A heartbeat is not believed, or not yet.
 
         :param known: the heartbeat that counts; none if there is none
         :param event: the one that came
         """
-        self._meter.heartbeat_passed_over()
+        self._meter.heartbeat_ignored()
         self.add(
             outcomes.Step.HEALTH,
             "heartbeat passed over",
@@ -215,8 +215,8 @@
 
     def seen(
         self,
-        known: _agent_events.EndpointSeen | None,
-        event: _agent_events.EndpointSeen,
+        known: _agent_events.EndpointHeartbeat | None,
+        event: _agent_events.EndpointHeartbeat,
     ) -> None:
         """The endpoint is another, or began to drain."""
         if known is not None and (known.incarnation, known.draining) == (
--- a/src/ferryledge/leases/_seeking.py
+++ b/src/ferryledge/leases/_agent_search.py
@@ -13,7 +13,7 @@
 from ferryledge.leases import _entry_notes
 from ferryledge.leases import _jobs
 from ferryledge.leases import _peers
-from ferryledge.leases import _placing
+from ferryledge.leases import _placement
 from ferryledge.leases import _pool
 from ferryledge import wire
 
@@ -46,7 +46,7 @@
     need: wire.Resources
 
 
-class Seeking:
+class AgentSearch:
     """Asks other entries for agents, and invites agents for them.
 
     :param name: this entry
@@ -72,7 +72,7 @@
         #: When each need was sought that fitted nowhere.
         self._needs: dict[_Need, float] = {}
 
-    def look(self, now: float) -> list[_entry_events.SendMessage]:
+    def search_if_few(self, now: float) -> list[_entry_events.SendMessage]:
         """Return what to ask of other entries, if there are few agents."""
         if self._started_at is None:
             self._started_at = now
@@ -97,7 +97,7 @@
         invitation = wire.Invite(own)
         return [_entry_events.SendMessage(name, invitation) for name in names]
 
-    def seek(
+    def search_for_job(
         self, now: float, job: _jobs.Job
     ) -> tuple[bool, list[_entry_events.SendMessage]]:
         """Seek endpoints for the steps of a job that fit nowhere.
@@ -113,7 +113,7 @@
         hope = True
         messages: list[_entry_events.SendMessage] = []
         service = job.request.job_class.service
-        for step in _placing.unfit_steps(self._pool, job):
+        for step in _placement.unfit_steps(self._pool, job):
             need = _Need(service, step.label, step.need)
             sought_at = self._needs.get(need, float("-inf"))
             if now - sought_at <= _HOPELESS_S:
@@ -154,7 +154,7 @@
             if row.usable(now)
             and row.name not in sought.known
             and sought.service in ("", row.state.service)
-            and _placing.fits(row, step)
+            and _placement.fits(row, step)
         ]
         names = [row.name for row in found[: sought.count]]
         if names:
--- a/src/ferryledge/leases/_config_exchange.py
+++ b/src/ferryledge/leases/_config_exchange.py
@@ -137,7 +137,7 @@
             self._kept.popitem(last=False)
         return True
 
-    def answer(self, base: bytes) -> wire.ConfigDelta:
+    def delta_for(self, base: bytes) -> wire.ConfigDelta:
         """Return the newest one for a process that has another.
 
         :param base: digest of that one; empty is none
--- a/src/ferryledge/leases/_config_readers.py
+++ b/src/ferryledge/leases/_config_readers.py
@@ -15,7 +15,7 @@
 _MOST_S = 0.3
 
 
-def is_narrow(link_bytes_per_s: float) -> bool:
+def is_narrow_link(link_bytes_per_s: float) -> bool:
     """Return whether a large configuration holds up a link for too long.
 
     :param link_bytes_per_s: what it carries; infinite if that is unknown
--- a/src/ferryledge/leases/_endpoint.py
+++ b/src/ferryledge/leases/_endpoint.py
@@ -4,7 +4,7 @@
 
 from ferryledge.leases import _agent_events
 from ferryledge.leases import _answer_times
-from ferryledge.leases import _lives
+from ferryledge.leases import _incarnations
 from ferryledge.leases import _timing
 
 #: Longest that a renewal's answer may wait for an end, in ms. Short enough
@@ -48,7 +48,7 @@
     def __init__(self, timing: _timing.LeaseTiming, now: float) -> None:
         self._timing = timing
         #: The last heartbeat of the incarnation that is known.
-        self.seen: _agent_events.EndpointSeen | None = None
+        self.seen: _agent_events.EndpointHeartbeat | None = None
         #: Whether what runs there is known.
         self.synced = False
         #: Ends up to this number have been taken in.
@@ -74,7 +74,7 @@
         self._left = ""
         #: Another incarnation that was heard of while one was known, and
         #: when.
-        self._candidate: _agent_events.EndpointSeen | None = None
+        self._candidate: _agent_events.EndpointHeartbeat | None = None
         self._candidate_at = now
         #: Incarnations that are known to have been replaced.
         self._replaced: list[str] = []
@@ -121,7 +121,7 @@
         self.note_clock(clock_ms, now)
         self._token = max(2 * self._token, self.clock_ms(now))
 
-    def see(self, seen: _agent_events.EndpointSeen, now: float) -> Change:
+    def see(self, seen: _agent_events.EndpointHeartbeat, now: float) -> Change:
         """Take in a heartbeat.
 
         One of another incarnation than the known one may be of its
@@ -141,12 +141,14 @@
             self._note(seen, now)
         return Change.NONE
 
-    def _note(self, seen: _agent_events.EndpointSeen, now: float) -> None:
+    def _note(self, seen: _agent_events.EndpointHeartbeat, now: float) -> None:
         self.seen = seen
         self._warm_at = now + seen.cold_s
         self.note_clock(seen.clock_ms, now)
 
-    def recall(self, seen: _agent_events.EndpointSeen, now: float) -> bool:
+    def recall(
+        self, seen: _agent_events.EndpointHeartbeat, now: float
+    ) -> bool:
         """Take in what was kept; a heartbeat that came first goes before.
 
         :return: whether it was taken in
@@ -189,8 +191,8 @@
         """
         if not self._incarnation or not born_ms:
             return Change.NONE
-        endpoint_id = _lives.endpoint_id_of(self._incarnation)
-        answered_as = _lives.incarnation_of(endpoint_id, born_ms)
+        endpoint_id = _incarnations.endpoint_id_of(self._incarnation)
+        answered_as = _incarnations.incarnation_of(endpoint_id, born_ms)
         if answered_as == self._incarnation:
             return Change.NONE
         candidate = self._pop_candidate()
@@ -216,7 +218,9 @@
     def _note_replaced(self, incarnation: str) -> None:
         self._replaced = [*self._replaced[-_REPLACED_KEPT:], incarnation]
 
-    def _propose(self, seen: _agent_events.EndpointSeen, now: float) -> None:
+    def _propose(
+        self, seen: _agent_events.EndpointHeartbeat, now: float
+    ) -> None:
         known = self._candidate
         if known is None or known.incarnation != seen.incarnation:
             self._candidate_at = now
@@ -224,13 +228,15 @@
             return
         self._candidate = seen
 
-    def _pop_candidate(self) -> _agent_events.EndpointSeen | None:
+    def _pop_candidate(self) -> _agent_events.EndpointHeartbeat | None:
         """Return the proposed successor, if any, and forget it."""
         candidate = self._candidate
         self._candidate = None
         return candidate
 
-    def _take(self, seen: _agent_events.EndpointSeen, now: float) -> Change:
+    def _take(
+        self, seen: _agent_events.EndpointHeartbeat, now: float
+    ) -> Change:
         change = self._succeed(seen.incarnation)
         self._note(seen, now)
         return change
@@ -347,4 +353,6 @@
 
 def _share_id(one: str, other: str) -> bool:
     """Return whether two incarnations take the same calls."""
-    return _lives.endpoint_id_of(one) == _lives.endpoint_id_of(other)
+    return _incarnations.endpoint_id_of(one) == _incarnations.endpoint_id_of(
+        other
+    )
--- a/src/ferryledge/leases/_evidence.py
+++ b/src/ferryledge/leases/_endpoint_history.py
@@ -48,7 +48,7 @@
     is_told: bool = False
 
 
-class Evidence:
+class ZoneFailureRates:
     """Keeps what ends say, by zones of callers."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         )
         self._zones.clear()
 
-    def told(self, now: float) -> tuple[wire.ZoneFailures, ...]:
+    def zone_failures(self, now: float) -> tuple[wire.ZoneFailures, ...]:
         """Return what entries are to be told.
 
         The same object stays as long as it does not change.
@@ -120,15 +120,15 @@
         )
 
 
-def of_zone(
-    told: abc.Iterable[wire.ZoneFailures], zone: str
+def failures_for_zone(
+    zone_failures: abc.Iterable[wire.ZoneFailures], zone: str
 ) -> wire.ZoneFailures:
     """Return what is known against an endpoint for callers of a zone.
 
     Failures for other zones' callers alone say nothing; those for all zones
     that are known, of which there are several, do.
     """
-    by_zone = {one.zone: one for one in told}
+    by_zone = {one.zone: one for one in zone_failures}
     nothing = wire.ZoneFailures(zone, 0.0, 0)
     return by_zone.get(zone) or by_zone.get("") or nothing
 
@@ -152,7 +152,7 @@
             self._down_at = now
         self._started_anew |= started_anew
 
-    def note_back(self, now: float) -> float | None:
+    def note_up(self, now: float) -> float | None:
         """Take in that it answers.
 
         :return: seconds for which it was away, if that was an outage
--- a/src/ferryledge/leases/_endpoint_watch.py
+++ b/src/ferryledge/leases/_endpoint_watch.py
@@ -6,13 +6,13 @@
 from ferryledge.leases import _agent_notes
 from ferryledge.leases import _answer_times
 from ferryledge.leases import _endpoint
-from ferryledge.leases import _evidence
-from ferryledge.leases import _listing
+from ferryledge.leases import _endpoint_history
 from ferryledge.leases import _owners
+from ferryledge.leases import _reconciliation
 from ferryledge.leases import _reports
+from ferryledge.leases import _run_stopper
 from ferryledge.leases import _runs
 from ferryledge.leases import _speed
-from ferryledge.leases import _stopping
 from ferryledge import wire
 
 Act = abc.Callable[[_agent_events.AgentAction], None]
@@ -50,7 +50,7 @@
         runs: _runs.RunTable,
         link: _endpoint.EndpointLink,
         owners: _owners.OwnerTable,
-        stopping: _stopping.Stopping,
+        stopping: _run_stopper.RunStopper,
         reports: _reports.Reports,
         notes: _agent_notes.AgentNotes,
         answer_times: _answer_times.AnswerTimes,
@@ -60,7 +60,7 @@
         self._runs = runs
         self._link = link
         self._owners = owners
-        self._stopping = stopping
+        self._run_stopper = stopping
         self._reports = reports
         self._notes = notes
         self._answer_times = answer_times
@@ -68,9 +68,9 @@
         #: How fast the endpoint works.
         self.speed = _speed.EndpointSpeed()
         #: What ends say of it, by the callers' zones.
-        self.evidence = _evidence.Evidence()
+        self.failure_rates = _endpoint_history.ZoneFailureRates()
         #: How often it went down.
-        self.outages = _evidence.Outages()
+        self.outages = _endpoint_history.Outages()
         #: Since when runs wait to be claimed.
         self.unclaimed_since = now
         #: Whether the endpoint announced its end.
@@ -78,14 +78,14 @@
         #: The endpoint's clock as of the newest list of runs.
         self._listed_clock_ms = 0
         #: What was kept of the endpoint last, for this agent's next start.
-        self._kept: _agent_events.EndpointSeen | None = None
+        self._kept: _agent_events.EndpointHeartbeat | None = None
 
     def receive(self, now: float, event: _agent_events.AgentEvent) -> None:
         """Take in what the endpoint said, or did not say."""
         match event:
-            case _agent_events.EndpointSeen():
+            case _agent_events.EndpointHeartbeat():
                 self._on_seen(now, event)
-            case _agent_events.EndpointRecalled(seen):
+            case _agent_events.EndpointRestored(seen):
                 if self._link.recall(seen, now):
                     self._kept = seen
                     self._notes.recalled(seen)
@@ -99,20 +99,24 @@
                 self._on_start_answered(now, event)
             case _agent_events.StopAnswered(key, incarnation, confirmed):
                 if confirmed and incarnation == self._link.incarnation:
-                    self._stopping.confirmed(now, key)
+                    self._run_stopper.confirmed(now, key)
 
-    def _on_seen(self, now: float, seen: _agent_events.EndpointSeen) -> None:
+    def _on_seen(
+        self, now: float, seen: _agent_events.EndpointHeartbeat
+    ) -> None:
         known = self._link.seen
         self._follow(now, self._link.see(seen, now))
         self._note_endpoint(known)
         if self._link.seen is not None:
             self._announced = self._link.seen.draining
         if self._link.seen is not seen:
-            self._notes.passed_over(self._link.seen, seen)
+            self._notes.heartbeat_ignored(self._link.seen, seen)
         if self._kept and self._kept.incarnation == self._link.incarnation:
             self._keep_endpoint()
 
-    def _note_endpoint(self, known: _agent_events.EndpointSeen | None) -> None:
+    def _note_endpoint(
+        self, known: _agent_events.EndpointHeartbeat | None
+    ) -> None:
         """Log what the endpoint is now, if that changed."""
         seen = self._link.seen
         if seen is not None and seen is not known:
@@ -123,8 +127,8 @@
         seen = self._link.seen
         if seen is None or seen is self._kept:
             return
-        if self._kept is None or not seen.describes_as(self._kept):
-            self._act(_agent_events.RememberEndpoint(seen))
+        if self._kept is None or not seen.has_same_description(self._kept):
+            self._act(_agent_events.SaveEndpoint(seen))
         self._kept = seen
 
     def _follow(self, now: float, change: _endpoint.Change) -> None:
@@ -138,7 +142,7 @@
                 self._lose_listed(now)
         self.speed = _speed.EndpointSpeed()
         self._listed_clock_ms = 0
-        self.evidence.forget()
+        self.failure_rates.forget()
         if not self._announced:
             self.outages.note_down(now, started_anew=True)
 
@@ -152,7 +156,7 @@
             if row.listed:
                 self._end(now, row, wire.HowEnded.LOST, crashed_jobs)
             else:
-                self._stopping.stop_anew(now, row)
+                self._run_stopper.stop_after_restart(now, row)
 
     def check(self, now: float) -> None:
         """Take for over what must be, by time; to be called in each tick."""
@@ -191,20 +195,20 @@
             case _agent_events.StartResult.STARTED:
                 self._answer_times.note(now - row.ordered_at)
                 row.confirmed_at = now
-                if row.pace is not None:
-                    row.pace.start(now)
+                if row.progress is not None:
+                    row.progress.start(now)
                 if row.state is _runs.RunState.ORDERED:
                     row.state = _runs.RunState.RUNNING
             case _agent_events.StartResult.SILENT:
-                self._notes.unanswered(row)
-                self._stopping.stop(
-                    now, row.key, release=wire.NotStarted.NO_ANSWER
+                self._notes.order_unanswered(row)
+                self._run_stopper.stop(
+                    now, row.key, release_reason=wire.NotStarted.NO_ANSWER
                 )
             case _:
                 if event.result is _agent_events.StartResult.FENCED:
                     self._link.raise_token(event.clock_ms, now)
-                row.release = _RELEASES[event.result]
-                if row.release is wire.NotStarted.UNHEALTHY:
+                row.release_reason = _RELEASES[event.result]
+                if row.release_reason is wire.NotStarted.UNHEALTHY:
                     self._note_end(now, row, False)
                 self._end(now, row, wire.HowEnded.STOPPED)
 
@@ -230,14 +234,14 @@
         for row in self._runs:
             run = listed.pop(row.key, None)
             if run is None:
-                how = _listing.end_of(row, event)
+                how = _reconciliation.end_of(row, event)
                 if how is not None:
                     self._end(now, row, how)
                 continue
             row.listed = True
             row.confirmed_at = row.confirmed_at or event.sent_at
-            if row.pace is not None:
-                row.pace.sample(now, run.done)
+            if row.progress is not None:
+                row.progress.sample(now, run.done)
         if event.clock_ms > self._listed_clock_ms:
             # An older list may come later, on another connection, and name
             # runs whose end was taken in since.
@@ -265,11 +269,11 @@
             case _:
                 pass
 
-    def _paces(self) -> list[_speed.RunPace]:
+    def _paces(self) -> list[_speed.RunProgress]:
         return [
-            row.pace
+            row.progress
             for row in self._runs
-            if row.pace is not None and row.state is _runs.RunState.RUNNING
+            if row.progress is not None and row.state is _runs.RunState.RUNNING
         ]
 
     def _on_listed_end(self, now: float, end: _agent_events.ListedEnd) -> None:
@@ -286,11 +290,11 @@
     def _note_end(self, now: float, row: _runs.RunRow, ok: bool) -> None:
         owner = self._owners.find(row.owner)
         if owner is not None:
-            self.evidence.note_end(now, owner.zone, row.key.job, ok)
+            self.failure_rates.note_end(now, owner.zone, row.key.job, ok)
 
     def _note_back(self, now: float) -> None:
         """Count an outage that is over."""
-        away_s = self.outages.note_back(now)
+        away_s = self.outages.note_up(now)
         if away_s is not None:
             self._notes.back(away_s, self.outages.steady(now))
 
--- a/src/ferryledge/leases/_entry.py
+++ b/src/ferryledge/leases/_entry.py
@@ -11,27 +11,27 @@
 
 from ferryledge import health
 from ferryledge.leases import _agent_events
+from ferryledge.leases import _agent_search
 from ferryledge.leases import _config_readers
 from ferryledge.leases import _cordons
+from ferryledge.leases import _endpoint_history
 from ferryledge.leases import _entry_events
 from ferryledge.leases import _entry_notes
-from ferryledge.leases import _evidence
 from ferryledge.leases import _handover
+from ferryledge.leases import _job_ranking
 from ferryledge.leases import _job_table
 from ferryledge.leases import _jobs
 from ferryledge.leases import _meters
 from ferryledge.leases import _notes
-from ferryledge.leases import _own_link
 from ferryledge.leases import _peers
-from ferryledge.leases import _placing
+from ferryledge.leases import _placement
 from ferryledge.leases import _pool
 from ferryledge.leases import _rules
-from ferryledge.leases import _run_tracking
-from ferryledge.leases import _scheduling
-from ferryledge.leases import _seeking
-from ferryledge.leases import _spare_room
+from ferryledge.leases import _run_tracker
+from ferryledge.leases import _scheduler
+from ferryledge.leases import _spare_capacity
 from ferryledge.leases import _timing
-from ferryledge.leases import _turns
+from ferryledge.leases import _uplink
 from ferryledge import outcomes
 from ferryledge import placement
 from ferryledge import wire
@@ -62,7 +62,7 @@
     :param zone: availability zone of this entry
     :param rng: source of all randomness
     :param timing: timing of leases; defaults to the standard timing
-    :param far_factor: run time of a task away from its data, as a multiple
+    :param remote_factor: run time of a task away from its data, as a multiple
         of its run time near the data
     :param meter: counts decisions; defaults to one that counts nothing
     :param link_bytes_per_s: bandwidth of the machine's network link;
@@ -77,55 +77,55 @@
         zone: str,
         rng: random.Random,
         timing: _timing.LeaseTiming | None = None,
-        far_factor: float = 1.0,
+        remote_factor: float = 1.0,
         meter: _meters.EntryMeter | None = None,
         link_bytes_per_s: float = math.inf,
         rules: _rules.EntryRules | None = None,
     ) -> None:
         self._name = name
         self._rules = rules or _rules.EntryRules()
-        turns = _turns.Turns(self._rules)
+        ranking = _job_ranking.JobRanking(self._rules)
         self._incarnation = incarnation
         self._zone = zone
         self._timing = timing or _timing.LeaseTiming()
-        self._link = _own_link.OwnLink(link_bytes_per_s)
+        self._link = _uplink.Uplink(link_bytes_per_s)
         self._cordons = _cordons.Cordons()
         self._pool = _pool.Pool(self._timing, self._cordons)
         self._run_times = placement.RunTimes()
-        self._judge = health.HealthJudge()
+        self._health_tracker = health.HealthTracker()
         self._notes = _entry_notes.EntryNotes(meter or _meters.EntryMeter())
         self._peers = _peers.EntryPeers(
-            self._cordons, _config_readers.is_narrow(link_bytes_per_s)
+            self._cordons, _config_readers.is_narrow_link(link_bytes_per_s)
         )
-        self._seeking = _seeking.Seeking(
+        self._agent_search = _agent_search.AgentSearch(
             name, self._pool, self._peers, self._notes
         )
         self._jobs = _job_table.JobTable()
-        self._runs = _run_tracking.RunTracking(
+        self._runs = _run_tracker.RunTracker(
             self._jobs,
             self._pool,
             self._run_times,
-            self._judge,
+            self._health_tracker,
             self._notes,
             self._link,
             self._send,
         )
-        self._scheduling = _scheduling.Scheduling(
+        self._scheduler = _scheduler.Scheduler(
             name,
             self._jobs,
             self._pool,
             self._runs,
-            _placing.Placing(
+            _placement.Placer(
                 name,
                 self._pool,
                 self._run_times,
-                far_factor,
-                turns,
-                self._runs.retries,
+                remote_factor,
+                ranking,
+                self._runs.retry_budget,
             ),
             self._link,
             rng,
-            turns,
+            ranking,
             self._notes,
         )
         self._handover = _handover.Handover(
@@ -135,7 +135,9 @@
             self._rules.hands_on,
             self._cordons,
             self._jobs,
-            _spare_room.SpareRoom(self._jobs, self._pool, self._link, turns),
+            _spare_capacity.SpareCapacity(
+                self._jobs, self._pool, self._link, ranking
+            ),
             self._run_times,
             rng,
             self._notes,
@@ -170,11 +172,11 @@
         return self._peers
 
     @property
-    def link(self) -> _own_link.OwnLink:
+    def link(self) -> _uplink.Uplink:
         """The network link of this entry's machine."""
         return self._link
 
-    def take_notes(self) -> list[_notes.Note]:
+    def pop_notes(self) -> list[_notes.Note]:
         """Return the notes on decisions since the last call, for the log."""
         return self._notes.take()
 
@@ -196,7 +198,7 @@
         """Return the number of open jobs of a class without any order."""
         return sum(
             job.request.job_class.name == job_class
-            for job in self._jobs.untried
+            for job in self._jobs.undispatched
         )
 
     def is_usable(self, now: float) -> bool:
@@ -236,7 +238,7 @@
                 self._cancel(now, name)
             case _entry_events.EntryDrain(until):
                 self._draining = True
-                self._scheduling.admission.close(until)
+                self._scheduler.admission.close(until)
                 self._handover.drain()
             case _entry_events.EntryStop():
                 self._answer_all(now)
@@ -251,8 +253,8 @@
                 self._peers.learn_entries(entries)
             case _entry_events.ConfigRead(version, data, log_end):
                 self._peers.learn_config(version, data, log_end)
-            case _entry_events.ConfigNotBrought():
-                self._peers.miss_config()
+            case _entry_events.ConfigFetchFailed():
+                self._peers.replace_config_reader()
             case _entry_events.CordonsRead(state):
                 self._apply_cordons(self._peers.learn_cordons(state))
 
@@ -263,13 +265,13 @@
         self._handover.check(now)
         if now >= self._next_sweep:
             self._sweep(now)
-        if self._dirty or self._scheduling.is_link_free(now):
+        if self._dirty or self._scheduler.is_link_free(now):
             self._dirty = False
-            self._scheduling.place(now)
-        for job in self._handover.act(now):
+            self._scheduler.place(now)
+        for job in self._handover.offer_and_reclaim(now):
             self._jobs.drop_if_over(job)
             self._next_sweep = now
-        for row, message in self._scheduling.tell_wanted(now):
+        for row, message in self._scheduler.due_urgency_reports(now):
             self._send(row.name, message)
         self._grant(now)
         for action in self._peers.take_actions():
@@ -286,7 +288,7 @@
         return min(
             self._tick_by,
             self._next_sweep,
-            self._scheduling.due_at,
+            self._scheduler.due_at,
             self._handover.due_at,
         )
 
@@ -295,10 +297,10 @@
         return self._tick_by
 
     def _sweep_every_s(self) -> float:
-        return _REVIEW_S if self._jobs.untried else _SWEEP_S
+        return _REVIEW_S if self._jobs.undispatched else _SWEEP_S
 
     def _send(self, peer: str, message: wire.Message) -> None:
-        self._link.note_sent(self._now, _own_link.size_of(message))
+        self._link.note_sent(self._now, _uplink.size_of(message))
         self._actions.append(_entry_events.SendMessage(peer, message))
 
     def _send_all(self, messages: list[_entry_events.SendMessage]) -> None:
@@ -318,7 +320,7 @@
             self._reply([token], outcomes.Complete(()))
             return
         estimate = max(step.estimate_s for step in request.steps)
-        expected = self._run_times.expect(request.job_class.name, estimate)
+        expected = self._run_times.predict(request.job_class.name, estimate)
         job = _jobs.Job(
             request,
             [token],
@@ -327,10 +329,12 @@
             _jobs.make_tasks(request),
             self._run_times.spread(request.job_class.name),
         )
-        may_find_agents, messages = self._seeking.seek(now, job)
+        may_find_agents, messages = self._agent_search.search_for_job(now, job)
         self._send_all(messages)
-        refusal = self._scheduling.admission.admit(now, job, may_find_agents)
-        if refusal is not None and not self._handover.keeps(job, refusal):
+        refusal = self._scheduler.admission.admit(now, job, may_find_agents)
+        if refusal is not None and not self._handover.defer_refusal(
+            job, refusal
+        ):
             self._finish(now, job, refusal)
             return
         self._notes.admitted(job, len(self._jobs), self._peers.version)
@@ -339,7 +343,7 @@
     def _keep(self, now: float, job: _jobs.Job) -> None:
         """Store a job until it is answered and its runs are over."""
         self._jobs.add(job)
-        self._scheduling.note_arrival(now, job)
+        self._scheduler.note_arrival(now, job)
         self._next_sweep = min(self._next_sweep, now + _REVIEW_S)
         self._dirty = True
 
@@ -381,7 +385,7 @@
         """Answer all open jobs before the process ends."""
         for job in self._jobs.open:
             self._finish(
-                now, job, self._scheduling.admission.deadline_outcome(job)
+                now, job, self._scheduler.admission.deadline_outcome(job)
             )
 
     def _reply(self, tokens: list[int], outcome: outcomes.JobOutcome) -> None:
@@ -389,7 +393,7 @@
             if token < 0:
                 self._handover.answer(token, outcome)
                 continue
-            self._link.note_sent(self._now, _own_link.ANSWER_BYTES)
+            self._link.note_sent(self._now, _uplink.ANSWER_BYTES)
             self._actions.append(_entry_events.AnswerJob(token, outcome))
 
     def _finish(
@@ -439,12 +443,12 @@
     def _on_message(
         self, now: float, peer: str, message: wire.Message
     ) -> None:
-        self._peers.heard(now, peer)
+        self._peers.note_received(now, peer)
         if isinstance(message, wire.CordonedZones):
-            self._apply_cordons(self._peers.hear_cordons(peer, message))
+            self._apply_cordons(self._peers.reconcile_cordons(peer, message))
             self._tick_by = now
         elif isinstance(message, wire.ConfigDelta):
-            self._peers.take_delta(peer, message)
+            self._peers.apply_config_delta(peer, message)
             self._tick_by = now
         row = self._pool.find(peer)
         if row is not None:
@@ -454,15 +458,15 @@
         self._tick_by = now
         match message:
             case wire.KeepAlive(version):
-                self._peers.hear_version(peer, version)
+                self._peers.note_version(peer, version)
             case wire.ConfigRequest():
-                self._peers.give_config(peer, message)
+                self._peers.send_config(peer, message)
             case wire.ConfigReply(version, data):
                 self._peers.learn_config(version, data)
             case wire.EntryList(entries):
                 self._peers.learn_entries(entries)
             case wire.SeekAgents():
-                self._send_all(self._seeking.invite(now, message))
+                self._send_all(self._agent_search.invite(now, message))
             case _:
                 if self._handover.receive(now, peer, message):
                     self._dirty = True
@@ -477,7 +481,7 @@
                 self._on_state(now, row, message)
             case wire.LateRuns(runs):
                 if self._rules.moves:
-                    self._runs.late(now, runs)
+                    self._runs.move_late(now, runs)
                 self._tick_by = now
             case wire.Leaving():
                 row.leaving = True
@@ -501,8 +505,10 @@
             if row.ask_answered != row.ask_seen:
                 row.ask_answered = row.ask_seen
                 row.granted_at = now
-                less_ms = self._runs.less_ms(now, row)
-                self._send(row.name, wire.GrantLease(row.ask_seen, less_ms))
+                shorten_by_ms = self._runs.shorten_by_ms(now, row)
+                self._send(
+                    row.name, wire.GrantLease(row.ask_seen, shorten_by_ms)
+                )
         self._asking.clear()
 
     def _on_runs_message(
@@ -518,12 +524,12 @@
                 if ask:
                     self._on_ask(now, row, wire.AskLease(ask, wanted=True))
             case wire.RunsHeld(runs):
-                for decided in self._runs.held(now, row, runs):
+                for decided in self._runs.reconcile(now, row, runs):
                     self._decide(now, decided)
                 row.reconciled = True
 
     def _decide(
-        self, now: float, decided: _run_tracking.Decided | None
+        self, now: float, decided: _run_tracker.DecidedJob | None
     ) -> None:
         """Answer a job whose outcome was decided by the end of a run."""
         if decided is None:
@@ -537,15 +543,17 @@
         self, now: float, row: _pool.AgentRow, state: wire.EndpointState
     ) -> None:
         if state.incarnation and state.incarnation != row.state.incarnation:
-            self._judge.join(row.name)
+            self._health_tracker.join(row.name)
             row.healthy = True
-            row.on_trial = False
+            row.awaits_probe = False
             self._run_times.forget_endpoint(row.name)
         self._notes.state_changed(row, state)
         self._pool.set_state(row, state)
         if self._rules.shared_evidence:
-            told = _evidence.of_zone(state.failing, self._zone)
-            self._runs.hear(now, row, told)
+            told = _endpoint_history.failures_for_zone(
+                state.failing, self._zone
+            )
+            self._runs.update_zone_failures(now, row, told)
         if self._jobs.has_waiting_tasks:
             self._dirty = True
             self._tick_by = now
@@ -554,11 +562,11 @@
 
     def _sweep(self, now: float) -> None:
         if self._next_sweep and now - self._next_sweep > _PAUSE_S:
-            self._pool.forgive_silence(now)
-            self._peers.forgive_silence(now)
-        self._peers.keep_alive(now)
-        self._peers.catch_up(now)
-        self._send_all(self._seeking.look(now))
+            self._pool.reset_silence_timers(now)
+            self._peers.reset_silence_timers(now)
+        self._peers.send_keep_alives(now)
+        self._peers.request_newer_config(now)
+        self._send_all(self._agent_search.search_if_few(now))
         self._next_sweep = now + self._sweep_every_s()
         self._pool.note_usable(now)
         for row in self._pool.silent(now):
@@ -566,13 +574,13 @@
             row.reconciled = False
             self._notes.silent(now, row)
             self._actions.append(_entry_events.CloseStream(row.name))
-        for row in self._pool.over(now):
-            self._notes.over(now, row)
-            for decided in self._runs.held(now, row, ()):
+        for row in self._pool.expired(now):
+            self._notes.expired(now, row)
+            for decided in self._runs.reconcile(now, row, ()):
                 self._decide(now, decided)
-        self._runs.probe(now)
+        self._runs.start_due_probes(now)
         self._sweep_jobs(now)
-        self._handover.note_sweep()
+        self._handover.schedule_offers()
         self._dirty = self._dirty or len(self._jobs) > 0
 
     def _sweep_jobs(self, now: float) -> None:
@@ -580,7 +588,7 @@
         for job in self._jobs.open:
             if now >= job.deadline_at - _DEADLINE_MARGIN_S:
                 self._finish(
-                    now, job, self._scheduling.admission.deadline_outcome(job)
+                    now, job, self._scheduler.admission.deadline_outcome(job)
                 )
-        for job, refusal in self._scheduling.review(now):
+        for job, refusal in self._scheduler.review(now):
             self._finish(now, job, refusal)
--- a/src/ferryledge/leases/_entry_events.py
+++ b/src/ferryledge/leases/_entry_events.py
@@ -36,7 +36,7 @@
     log_end: int = 0
 
 
-class ConfigNotBrought(wire.Event, frozen=True):
+class ConfigFetchFailed(wire.Event, frozen=True):
     """The agent that reads configurations for this entry failed to do so."""
 
 
@@ -64,7 +64,7 @@
     | JobCancelled
     | _agent_events.EntriesFound
     | ConfigRead
-    | ConfigNotBrought
+    | ConfigFetchFailed
     | CordonsRead
     | EntryDrain
     | EntryStop
--- a/src/ferryledge/leases/_entry_notes.py
+++ b/src/ferryledge/leases/_entry_notes.py
@@ -32,7 +32,7 @@
             config=config,
         )
 
-    def deadly(self, job: _jobs.Job, task: _jobs.Task) -> None:
+    def task_abandoned(self, job: _jobs.Job, task: _jobs.Task) -> None:
         """A task is not retried, since endpoints crashed while it ran."""
         self.add(
             outcomes.Step.RUN,
@@ -121,8 +121,10 @@
         )
         if reason:
             facts["reason"] = str(reason)
-        if job.offered_at is not None:
-            facts["first_order_s"] = round(job.offered_at - job.arrived_at, 3)
+        if job.dispatched_at is not None:
+            facts["first_order_s"] = round(
+                job.dispatched_at - job.arrived_at, 3
+            )
         self.add(
             outcomes.Step.ANSWER,
             message,
@@ -136,17 +138,17 @@
             **facts,
         )
 
-    def put_back(
+    def deferred(
         self, now: float, job: _jobs.Job, told: _forecast.Forecast
     ) -> None:
         """A job was deferred behind all jobs that can meet their objective.
 
         Noted only once for each job.
         """
-        if job.was_put_back:
+        if job.was_deferred:
             return
-        job.was_put_back = True
-        self._meter.put_back()
+        job.was_deferred = True
+        self._meter.deferred()
         self.add(
             outcomes.Step.ADMIT,
             "put back: late, and of use",
@@ -177,7 +179,7 @@
     ) -> None:
         """Runs were ordered from an agent."""
         self._meter.ordered(len(tasks))
-        if job.offered_at == now:
+        if job.dispatched_at == now:
             self._meter.first_order(now - job.arrived_at)
         self.add(
             outcomes.Step.PLACE,
@@ -252,9 +254,9 @@
             normal_s=late.normal_s,
         )
 
-    def retry_waits(self, job: _jobs.Job, task: _jobs.Task) -> None:
+    def retry_delayed(self, job: _jobs.Job, task: _jobs.Task) -> None:
         """The retry of a failed task waits for the retry budget."""
-        self._meter.retry_waits()
+        self._meter.retry_delayed()
         self.add(
             outcomes.Step.PLACE,
             "retry delayed: retry budget exhausted",
@@ -293,7 +295,7 @@
             runs=len(row.runs),
         )
 
-    def over(self, now: float, row: _pool.AgentRow) -> None:
+    def expired(self, now: float, row: _pool.AgentRow) -> None:
         """Runs count as over, since their leases must have expired."""
         self.add(
             outcomes.Step.LEASE,
@@ -326,7 +328,7 @@
             steady=state.steady,
         )
 
-    def judged(
+    def health_changed(
         self, job: str, row: _pool.AgentRow, state: health.Health
     ) -> None:
         """The health of an endpoint changed.
--- a/src/ferryledge/leases/_dealing.py
+++ b/src/ferryledge/leases/_entry_selection.py
@@ -11,14 +11,14 @@
 import msgspec
 
 from ferryledge.leases import _agent_events
-from ferryledge.leases import _states
+from ferryledge.leases import _state_reports
 from ferryledge import placement
 from ferryledge import wire
 
 #: Entries that an agent serves. With 12 entries and 67 agents at 1.2 times
 #: the pool, jobs at random entries, 0.92 of the jobs were in time with 4, 0.90
 #: with 6 and 0.86 with all 12 (simulation): fewer race for the same room.
-STREAMS = _states.HOMES
+STREAMS = _state_reports.MAX_PRIMARY_ENTRIES
 #: Seconds without a stream after which another entry is dialled beside one:
 #: a process that was killed is back sooner.
 _LOST_S = 1.5
@@ -47,7 +47,7 @@
 
 Action = (
     _agent_events.DialEntries
-    | _agent_events.LeaveEntry
+    | _agent_events.DisconnectEntry
     | _agent_events.SendMessage
 )
 
@@ -273,4 +273,4 @@
         self._leaving.pop(name, None)
         if name in self._known:
             self._known[name].dialled = False
-        return _agent_events.LeaveEntry(name)
+        return _agent_events.DisconnectEntry(name)
--- a/src/ferryledge/leases/_forecast.py
+++ b/src/ferryledge/leases/_forecast.py
@@ -32,7 +32,7 @@
     #: The answer is likely to miss the objective, but to be useful.
     LATE = "late"
     #: The answer would come too late to be useful.
-    IN_VAIN = "in vain"
+    TOO_LATE = "in vain"
 
 
 class Forecast(msgspec.Struct, frozen=True):
@@ -45,7 +45,7 @@
     prospect: Prospect
 
 
-class Need(msgspec.Struct, frozen=True):
+class Demand(msgspec.Struct, frozen=True):
     """Input of a forecast for a job; times are in monotonic seconds."""
 
     #: Expected core-seconds of the waiting tasks.
@@ -58,12 +58,12 @@
     useful_until: float
 
     @property
-    def last_start(self) -> float:
+    def useful_start_by(self) -> float:
         """Latest start whose answer is likely to be useful."""
         return self.useful_until - self.run_s
 
 
-class RoomChange(msgspec.Struct, frozen=True):
+class CapacityChange(msgspec.Struct, frozen=True):
     """A future change of capacity."""
 
     #: Seconds from now.
@@ -72,7 +72,7 @@
     cores: float
 
 
-class Room(msgspec.Struct, frozen=True):
+class AvailableCapacity(msgspec.Struct, frozen=True):
     """Capacity that is available to the jobs of one entry."""
 
     #: Cores in the long run.
@@ -80,9 +80,9 @@
     #: Idle cores now.
     free: float = 0.0
     #: Changes that are known in advance.
-    changes: tuple[RoomChange, ...] = ()
+    changes: tuple[CapacityChange, ...] = ()
     #: Seconds that an order waits for the network link of the entry.
-    link_s: float = 0.0
+    link_wait_s: float = 0.0
 
     def cores_in(self, in_s: float) -> float:
         """Return the number of cores after some seconds.
@@ -104,7 +104,7 @@
     """
 
     def __init__(
-        self, now: float, room: Room, inflow: _arrivals.Inflow
+        self, now: float, room: AvailableCapacity, inflow: _arrivals.Inflow
     ) -> None:
         self._now = now
         self._room = room
@@ -126,35 +126,35 @@
         """Number of cores that are available now."""
         return self._room.cores_in(0.0)
 
-    def in_time(self, need: Need, ahead: float) -> Forecast:
+    def forecast_on_time(self, demand: Demand, ahead: float) -> Forecast:
         """Return the forecast of a job that is ranked by its objective.
 
         A job that would miss its objective is forecast as a deferred one.
 
-        :param need: input for the job
+        :param demand: input for the job
         :param ahead: core-seconds of waiting work that starts before it
         """
-        arriving = self.inflow.overtaking_work(need.start_by - self._now)
-        room_in_s = self._start_delay(self._total, need, ahead + arriving)
-        if self._now + room_in_s <= need.start_by:
-            return self._make(need, room_in_s, Prospect.IN_TIME)
-        return self.late(need, ahead)
+        arriving = self.inflow.overtaking_work(demand.start_by - self._now)
+        room_in_s = self._start_delay(self._total, demand, ahead + arriving)
+        if self._now + room_in_s <= demand.start_by:
+            return self._make(demand, room_in_s, Prospect.IN_TIME)
+        return self.late(demand, ahead)
 
-    def late(self, need: Need, ahead: float) -> Forecast:
+    def late(self, demand: Demand, ahead: float) -> Forecast:
         """Return the forecast of a job behind all jobs that can be on time.
 
-        :param need: input for the job
+        :param demand: input for the job
         :param ahead: core-seconds of waiting work that starts before it
         """
-        room_in_s = self._start_delay(self._spare, need, ahead)
+        room_in_s = self._start_delay(self._spare, demand, ahead)
         # A job that fits the idle cores is never too late: the work ahead of
         # it may be waiting for other endpoints.
-        wait_s = 0.0 if self._fits(need) else room_in_s
-        if self._now + wait_s <= need.last_start:
-            return self._make(need, room_in_s, Prospect.LATE)
-        return self._make(need, room_in_s, Prospect.IN_VAIN)
+        wait_s = 0.0 if self._fits(demand) else room_in_s
+        if self._now + wait_s <= demand.useful_start_by:
+            return self._make(demand, room_in_s, Prospect.LATE)
+        return self._make(demand, room_in_s, Prospect.TOO_LATE)
 
-    def room_in(self, ahead: float, work: float) -> float:
+    def queueing_delay(self, ahead: float, work: float) -> float:
         """Return the seconds until additional work has started.
 
         :param ahead: core-seconds of waiting work
@@ -162,25 +162,25 @@
         """
         return _completion_s(self._spare, ahead + work)
 
-    def _fits(self, need: Need) -> bool:
+    def _fits(self, demand: Demand) -> bool:
         """Return whether all waiting tasks of a job fit the idle cores."""
-        return need.work <= self._room.free * need.run_s
+        return demand.work <= self._room.free * demand.run_s
 
     def _start_delay(
-        self, capacity: list[float], need: Need, ahead: float
+        self, capacity: list[float], demand: Demand, ahead: float
     ) -> float:
         """Return the seconds until the last waiting task of a job starts.
 
         Work that fits the idle cores starts at once.
         """
-        at_once = self._room.free * need.run_s
-        work = max(0.0, ahead + need.work - at_once)
-        return _completion_s(capacity, work) + self._room.link_s
+        at_once = self._room.free * demand.run_s
+        work = max(0.0, ahead + demand.work - at_once)
+        return _completion_s(capacity, work) + self._room.link_wait_s
 
     def _make(
-        self, need: Need, room_in_s: float, prospect: Prospect
+        self, demand: Demand, room_in_s: float, prospect: Prospect
     ) -> Forecast:
-        return Forecast(room_in_s, room_in_s + need.run_s, prospect)
+        return Forecast(room_in_s, room_in_s + demand.run_s, prospect)
 
 
 def _cumulative_work(cores: list[float]) -> list[float]:
--- a/src/ferryledge/leases/_asking.py
+++ b/src/ferryledge/leases/_grant_requests.py
@@ -38,7 +38,7 @@
                 if now >= owner.next_ask_at:
                     self._ask_or_leave(now, owner)
             self._owners.plan_asks()
-        for owner in self._watch.look(now):
+        for owner in self._watch.reopen_silent(now):
             self._ask(now, owner, at_once=True)
 
     def _ask_or_leave(self, now: float, owner: _owners.Owner) -> None:
--- a/src/ferryledge/leases/_handover.py
+++ b/src/ferryledge/leases/_handover.py
@@ -4,11 +4,11 @@
 
 from ferryledge.leases import _cordons
 from ferryledge.leases import _entry_notes
-from ferryledge.leases import _handed_in
-from ferryledge.leases import _handing_on
+from ferryledge.leases import _incoming_handovers
 from ferryledge.leases import _job_table
 from ferryledge.leases import _jobs
-from ferryledge.leases import _spare_room
+from ferryledge.leases import _outgoing_handovers
+from ferryledge.leases import _spare_capacity
 from ferryledge.leases import _timing
 from ferryledge import outcomes
 from ferryledge import placement
@@ -47,24 +47,24 @@
         is_on: bool,
         cordons: _cordons.Cordons,
         jobs: _job_table.JobTable,
-        room: _spare_room.SpareRoom,
+        room: _spare_capacity.SpareCapacity,
         run_times: placement.RunTimes,
         rng: random.Random,
         notes: _entry_notes.EntryNotes,
-        send: _handing_on.Send,
-        finish: _handing_on.Finish,
-        take: _handed_in.Take,
-        drop: _handed_in.Drop,
+        send: _outgoing_handovers.Send,
+        finish: _outgoing_handovers.Finish,
+        take: _incoming_handovers.Take,
+        drop: _incoming_handovers.Drop,
     ) -> None:
         self._is_on = is_on
         self._cordons = cordons
         self._jobs = jobs
         self._room = room
         self._finish = finish
-        self._on = _handing_on.HandingOn(
+        self._on = _outgoing_handovers.OutgoingHandovers(
             incarnation, zone, timing, rng, notes, send, finish
         )
-        self._in = _handed_in.HandedIn(
+        self._in = _incoming_handovers.IncomingHandovers(
             incarnation, jobs, room, run_times, notes, send, take, drop
         )
         self._is_leaving = False
@@ -137,7 +137,7 @@
             case wire.GrantHandedIn():
                 self._in.granted(now, peer, message)
 
-    def keeps(self, job: _jobs.Job, refusal: outcomes.Refused) -> bool:
+    def defer_refusal(self, job: _jobs.Job, refusal: outcomes.Refused) -> bool:
         """Return whether a job is kept that would be refused on arrival.
 
         Another entry may be able to run it.
@@ -155,12 +155,12 @@
 
     def withdraw(self, job: _jobs.Job) -> None:
         """Have a job's runs stopped wherever it is."""
-        if job.is_away:
+        if job.is_delegated:
             self._on.withdraw(job)
 
     # Systems.
 
-    def note_sweep(self) -> None:
+    def schedule_offers(self) -> None:
         """Look for late jobs at the next chance."""
         self._is_due = self._on.takers > 0
 
@@ -168,14 +168,14 @@
         """Stop what may not be run any longer: before anything is ordered."""
         self._in.check(now)
 
-    def act(self, now: float) -> list[_jobs.Job]:
+    def offer_and_reclaim(self, now: float) -> list[_jobs.Job]:
         """Offer what is late, and keep up what was handed on.
 
         :return: jobs that are to be run here again
         """
         if self._is_due:
             self._is_due = False
-            if self._jobs.untried:
+            if self._jobs.undispatched:
                 self._offer_late(now)
             self._refuse_kept(now)
         self._in.ask(now)
@@ -185,14 +185,16 @@
         if self._is_leaving:
             self._on.plan(now, self._room.late(now, _NEVER))
         elif self._room.may_differ(now, self._on.takers):
-            self._on.plan(now, self._room.late(now, _handing_on.LEAD_S))
+            self._on.plan(
+                now, self._room.late(now, _outgoing_handovers.LEAD_S)
+            )
 
     def _refuse_kept(self, now: float) -> None:
         """Refuse what no other entry took."""
         for name, (job, refusal) in list(self._kept.items()):
-            if job.closed or job.is_away:
+            if job.closed or job.is_delegated:
                 continue
-            if job.has_begun:
+            if job.is_dispatched:
                 del self._kept[name]
             elif now - job.arrived_at > _KEPT_SHARE * job.objective_s:
                 del self._kept[name]
--- a/src/ferryledge/leases/_handed_in.py
+++ b/src/ferryledge/leases/_incoming_handovers.py
@@ -4,7 +4,7 @@
 could start now, beside what waits here already; it counts like an own one
 from then on. Its runs go on only while the giver shows that it lives: the
 right counts from the sending of the ask that the giver answered, so clocks
-are never compared. It is stopped :data:`_handing_on.HEARD_WITHIN_S` after
+are never compared. It is stopped :data:`_outgoing_handovers.HEARD_WITHIN_S` after
 that; and the grants of agents that run it end sooner by the age of that ask,
 so that its runs end in the usual time after the giver's last sign also if
 this process fails meanwhile.
@@ -16,10 +16,10 @@
 import msgspec
 
 from ferryledge.leases import _entry_notes
-from ferryledge.leases import _handing_on
 from ferryledge.leases import _job_table
 from ferryledge.leases import _jobs
-from ferryledge.leases import _spare_room
+from ferryledge.leases import _outgoing_handovers
+from ferryledge.leases import _spare_capacity
 from ferryledge import outcomes
 from ferryledge import placement
 from ferryledge import wire
@@ -42,7 +42,7 @@
 
     peer: str
     #: The giver's incarnation.
-    giver: str
+    delegator: str
     #: Of the offer.
     number: int
     job: _jobs.Job
@@ -66,7 +66,7 @@
     )
 
 
-class HandedIn:
+class IncomingHandovers:
     """Takes jobs of other entries.
 
     :param incarnation: this start of the process
@@ -83,7 +83,7 @@
         self,
         incarnation: str,
         jobs: _job_table.JobTable,
-        room: _spare_room.SpareRoom,
+        room: _spare_capacity.SpareCapacity,
         run_times: placement.RunTimes,
         notes: _entry_notes.EntryNotes,
         send: Send,
@@ -120,8 +120,8 @@
             one.next_ask_at for one in self._givers.values() if one.connected
         ]
         ends = [
-            signed_at + _handing_on.HEARD_WITHIN_S
-            for signed_at in self._jobs.signed.values()
+            signed_at + _outgoing_handovers.HEARD_WITHIN_S
+            for signed_at in self._jobs.authorised_at.values()
         ]
         return min(asks + ends, default=_NEVER)
 
@@ -143,7 +143,7 @@
         """Take a job, or decline it."""
         job = self._job_of(now, offer)
         declined = self._why_not(now, offer, job)
-        answer = wire.OfferAnswered(offer.giver, offer.number, declined)
+        answer = wire.OfferAnswered(offer.delegator, offer.number, declined)
         told_at = self._told.get(offer.room, -math.inf)
         self._notes.taken(now, offer, peer, declined, told_at)
         if job is not None and declined is None:
@@ -156,9 +156,9 @@
         """Return why an offer is not taken; none if it is."""
         why = wire.Declined
         told_at = self._told.get(offer.room, -math.inf)
-        if offer.taker != self._incarnation:
+        if offer.delegate != self._incarnation:
             return why.OLD
-        if now - told_at > _handing_on.ROOM_FOR_S:
+        if now - told_at > _outgoing_handovers.ROOM_FOR_S:
             return why.OLD
         if self.is_leaving:
             return why.LEAVING
@@ -186,10 +186,10 @@
             request,
             [],
             now - offer.waited_s,
-            self._run_times.expect(name, estimate),
+            self._run_times.predict(name, estimate),
             _jobs.make_tasks(request),
             self._run_times.spread(name),
-            is_handed_in=True,
+            is_incoming=True,
         )
 
     def _hold(
@@ -202,14 +202,14 @@
     ) -> None:
         self._tokens -= 1
         job.tokens.append(self._tokens)
-        held = _Held(peer, offer.giver, offer.number, job)
+        held = _Held(peer, offer.delegator, offer.number, job)
         self._held[self._tokens] = held
-        self._jobs.signed[job.name] = told_at
-        giver = self._givers.get(peer)
-        if giver is None or giver.incarnation != offer.giver:
+        self._jobs.authorised_at[job.name] = told_at
+        delegator = self._givers.get(peer)
+        if delegator is None or delegator.incarnation != offer.delegator:
             # A former incarnation's jobs end for want of its signs.
             due = now + _ASK_EVERY_S
-            self._givers[peer] = _Giver(peer, offer.giver, due)
+            self._givers[peer] = _Giver(peer, offer.delegator, due)
         self._take(now, job)
 
     def withdrawn(self, now: float, message: wire.WithdrawJob) -> None:
@@ -217,7 +217,8 @@
         self._drop_if(
             now,
             lambda one: (
-                one.giver == message.giver and one.number == message.number
+                one.delegator == message.delegator
+                and one.number == message.number
             ),
         )
 
@@ -227,7 +228,7 @@
         for token, held in list(self._held.items()):
             if is_one(held):
                 del self._held[token]
-                del self._jobs.signed[held.job.name]
+                del self._jobs.authorised_at[held.job.name]
                 self._drop(now, token, held.job.name)
 
     def answer(self, token: int, outcome: outcomes.JobOutcome) -> None:
@@ -235,13 +236,13 @@
         held = self._held.pop(token, None)
         if held is None:
             return
-        del self._jobs.signed[held.job.name]
-        giver = self._givers.get(held.peer)
-        if giver is None or giver.incarnation != held.giver:
+        del self._jobs.authorised_at[held.job.name]
+        delegator = self._givers.get(held.peer)
+        if delegator is None or delegator.incarnation != held.delegator:
             return
         handled = _handled_of(held, outcome)
-        giver.unconfirmed.append((self._asked, handled))
-        if giver.connected:
+        delegator.unconfirmed.append((self._asked, handled))
+        if delegator.connected:
             self._send(held.peer, handled)
 
     # The lease.
@@ -250,85 +251,91 @@
         """Stop what the right has ended for, before anything is ordered."""
         if not self._held:
             return
-        oldest = now - _handing_on.HEARD_WITHIN_S
-        signed = self._jobs.signed
+        oldest = now - _outgoing_handovers.HEARD_WITHIN_S
+        authorised_at = self._jobs.authorised_at
         for held in self._held.values():
-            if signed[held.job.name] <= oldest:
+            if authorised_at[held.job.name] <= oldest:
                 self._notes.giver_silent(held.job, held.peer)
-        self._drop_if(now, lambda one: signed[one.job.name] <= oldest)
+        self._drop_if(now, lambda one: authorised_at[one.job.name] <= oldest)
 
     def ask(self, now: float) -> None:
         """Ask givers for the right to go on, where that is due."""
-        for giver in list(self._givers.values()):
-            if not giver.connected or now < giver.next_ask_at:
+        for delegator in list(self._givers.values()):
+            if not delegator.connected or now < delegator.next_ask_at:
                 continue
             offers = tuple(
                 one.number
                 for one in self._held.values()
-                if one.peer == giver.peer and one.giver == giver.incarnation
+                if one.peer == delegator.peer
+                and one.delegator == delegator.incarnation
             )
-            if not offers and not giver.unconfirmed:
-                del self._givers[giver.peer]
+            if not offers and not delegator.unconfirmed:
+                del self._givers[delegator.peer]
                 continue
             self._asked += 1
-            giver.asks[self._asked] = (now, offers)
-            giver.next_ask_at = now + _ASK_EVERY_S
-            message = wire.AskHandedIn(giver.incarnation, self._asked, offers)
-            self._send(giver.peer, message)
+            delegator.asks[self._asked] = (now, offers)
+            delegator.next_ask_at = now + _ASK_EVERY_S
+            message = wire.AskHandedIn(
+                delegator.incarnation, self._asked, offers
+            )
+            self._send(delegator.peer, message)
 
     def granted(
         self, now: float, peer: str, grant: wire.GrantHandedIn
     ) -> None:
         """Take in the right to go on; stop what it does not name."""
-        giver = self._givers.get(peer)
-        if giver is None or giver.incarnation != grant.giver:
+        delegator = self._givers.get(peer)
+        if delegator is None or delegator.incarnation != grant.delegator:
             return
-        giver.unconfirmed = [
-            one for one in giver.unconfirmed if one[0] >= grant.number
+        delegator.unconfirmed = [
+            one for one in delegator.unconfirmed if one[0] >= grant.number
         ]
-        ask = giver.asks.pop(grant.number, None)
+        ask = delegator.asks.pop(grant.number, None)
         if ask is None:
             return
         asked_at, asked = ask
-        for older in [one for one in giver.asks if one < grant.number]:
-            del giver.asks[older]
+        for older in [one for one in delegator.asks if one < grant.number]:
+            del delegator.asks[older]
         named = set(grant.offers)
         for held in self._held.values():
-            if held.giver == grant.giver and held.number in named:
-                self._jobs.signed[held.job.name] = asked_at
+            if held.delegator == grant.delegator and held.number in named:
+                self._jobs.authorised_at[held.job.name] = asked_at
         dropped = set(asked) - named
         self._drop_if(
             now,
-            lambda one: one.giver == grant.giver and one.number in dropped,
+            lambda one: (
+                one.delegator == grant.delegator and one.number in dropped
+            ),
         )
 
     def join(self, now: float, hello: wire.Hello) -> None:
         """Go on with a giver whose stream is open again."""
-        giver = self._givers.get(hello.name)
-        if giver is None:
+        delegator = self._givers.get(hello.name)
+        if delegator is None:
             return
-        if giver.incarnation != hello.incarnation:
+        if delegator.incarnation != hello.incarnation:
             del self._givers[hello.name]
             self._drop_if(
                 now,
                 lambda one: (
-                    one.peer == hello.name and one.giver != hello.incarnation
+                    one.peer == hello.name
+                    and one.delegator != hello.incarnation
                 ),
             )
             return
-        giver.connected = True
-        giver.asks.clear()
-        giver.next_ask_at = now
-        results = [one for _, one in giver.unconfirmed]
-        giver.unconfirmed = [(self._asked, one) for one in results]
+        delegator.connected = True
+        delegator.asks.clear()
+        delegator.next_ask_at = now
+        results = [one for _, one in delegator.unconfirmed]
+        delegator.unconfirmed = [(self._asked, one) for one in results]
         for one in results:
             self._send(hello.name, one)
 
     def leave(self, peer: str) -> None:
         """Note that the stream to an entry broke."""
-        giver = self._givers.get(peer)
-        if giver is not None:
-            giver.connected = False
+        delegator = self._givers.get(peer)
+        if delegator is not None:
+            delegator.connected = False
 
 
 def _request_of(offer: wire.OfferJob, spec: str) -> _jobs.LeasedJob:
@@ -375,4 +382,4 @@
             how = wire.HowHandled.FAILED
             reason = str(outcomes.Reason.TASK_FAILED)
             peer = origin.peer
-    return wire.JobHandled(held.giver, held.number, how, reason, peer)
+    return wire.JobHandled(held.delegator, held.number, how, reason, peer)
--- a/src/ferryledge/leases/_job_table.py
+++ b/src/ferryledge/leases/_job_table.py
@@ -16,7 +16,7 @@
         self._complete: dict[str, float] = {}
         #: Start of this entry's authority to run each job of another entry, in
         #: monotonic seconds by job name.
-        self.signed: dict[str, float] = {}
+        self.authorised_at: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._jobs)
@@ -30,9 +30,9 @@
         return [job for job in self._jobs.values() if not job.closed]
 
     @property
-    def untried(self) -> list[_jobs.Job]:
+    def undispatched(self) -> list[_jobs.Job]:
         """Open jobs that no run was ordered for."""
-        return [job for job in self.open if job.offered_at is None]
+        return [job for job in self.open if job.dispatched_at is None]
 
     @property
     def has_waiting_tasks(self) -> bool:
@@ -56,7 +56,7 @@
 
     def drop_if_over(self, job: _jobs.Job) -> None:
         """Drop a job if it is closed and all its runs are over."""
-        if job.closed and not job.is_away and not job.bound():
+        if job.closed and not job.is_delegated and not job.bound():
             self._jobs.pop(job.name, None)
 
     def note_complete(self, name: str, now: float) -> None:
--- a/src/ferryledge/leases/_jobs.py
+++ b/src/ferryledge/leases/_jobs.py
@@ -92,7 +92,7 @@
     agent: str = ""
     ordered_at: float = 0.0
     #: Agents to avoid, since the task failed, crashed or was too slow there.
-    avoid: set[str] = msgspec.field(default_factory=set)
+    avoided_agents: set[str] = msgspec.field(default_factory=set)
     #: Whether a stop of the run was requested.
     stopping: bool = False
     #: Times that the task was moved off a slow endpoint.
@@ -119,25 +119,25 @@
     spread: float = 0.0
     #: When the first run was ordered, or the job was offered to another entry;
     #: ``None`` before that.
-    offered_at: float | None = None
+    dispatched_at: float | None = None
     #: Latest forecast before the first order; ``None`` if there was none, or
     #: if the job is refused where it would be late.
     forecast: _forecast.Forecast | None = None
     #: Whether the job was ever deferred behind all jobs that can be on time.
-    was_put_back: bool = False
+    was_deferred: bool = False
     #: Whether the client was refused before and retried at the time it was
     #: told.
-    keeps_place: bool = False
+    is_scheduled_retry: bool = False
     #: Whether the job was answered or all its clients disconnected.
     closed: bool = False
     #: Compressed spec; empty until first used.
     packed_spec: bytes = b""
     #: Whether another entry holds the job, or may hold it. Nothing is ordered
     #: here meanwhile.
-    is_away: bool = False
+    is_delegated: bool = False
     #: Whether the job was received from another entry. It is not handed on
     #: again.
-    is_handed_in: bool = False
+    is_incoming: bool = False
     #: Times that the job was offered to other entries.
     offers: int = 0
     #: Number of tasks in the state ``WAITING``, ready or not.
@@ -206,16 +206,16 @@
         return self.request.job_class.late_factor > 1.0
 
     @property
-    def is_put_back(self) -> bool:
+    def is_deferred(self) -> bool:
         """Whether the job waits behind all jobs that can be on time."""
         if self.forecast is None:
             return False
         return self.forecast.prospect is not _forecast.Prospect.IN_TIME
 
     @property
-    def need(self) -> _forecast.Need:
+    def demand(self) -> _forecast.Demand:
         """Input of a forecast for the job."""
-        return _forecast.Need(
+        return _forecast.Demand(
             self.waiting_work(),
             self.expected_s,
             self.start_by,
@@ -223,9 +223,9 @@
         )
 
     @property
-    def has_begun(self) -> bool:
+    def is_dispatched(self) -> bool:
         """Whether a run was ordered, or another entry was offered the job."""
-        return self.offered_at is not None
+        return self.dispatched_at is not None
 
     def waiting_work(self) -> float:
         """Return the expected core-seconds of the waiting tasks."""
@@ -266,7 +266,7 @@
 
     def startable(self) -> list[Task]:
         """Return the waiting tasks whose required steps are done."""
-        if self.is_away or not self.waiting:
+        if self.is_delegated or not self.waiting:
             return []
         ready: list[Task] = []
         for number, step in enumerate(self.request.steps):
--- a/src/ferryledge/leases/_review.py
+++ b/src/ferryledge/leases/_late_jobs.py
@@ -26,9 +26,9 @@
     """A job that nothing was ordered for."""
 
     number: int
-    need: _forecast.Need
+    demand: _forecast.Demand
     #: Whether it is not put back for others.
-    keeps_place: bool = False
+    is_scheduled_retry: bool = False
 
 
 def review(
@@ -53,13 +53,13 @@
         queue.add(job)
         late += queue.make_room(job, largest_late)
         forecasts[job.number] = queue.forecast(job)
-    late.sort(key=lambda job: job.need.last_start)
+    late.sort(key=lambda job: job.demand.useful_start_by)
     work = queue.work
     for job in late:
-        told = forecaster.late(job.need, work)
+        told = forecaster.late(job.demand, work)
         forecasts[job.number] = told
         if told.prospect is _forecast.Prospect.LATE:
-            work += job.need.work
+            work += job.demand.work
     return forecasts
 
 
@@ -82,13 +82,15 @@
 
     def add(self, job: Waiting) -> None:
         """Take in a job."""
-        self.work += job.need.work
-        if not job.keeps_place:
+        self.work += job.demand.work
+        if not job.is_scheduled_retry:
             heapq.heappush(self._largest, _entry(job))
 
     def forecast(self, job: Waiting) -> _forecast.Forecast:
         """Return the forecast of the job that was added last."""
-        return self._forecaster.in_time(job.need, self.work - job.need.work)
+        return self._forecaster.forecast_on_time(
+            job.demand, self.work - job.demand.work
+        )
 
     def make_room(self, job: Waiting, largest_late: bool) -> list[Waiting]:
         """Take out the jobs that are late so that one is in time.
@@ -97,31 +99,31 @@
         :param largest_late: whether it may be others
         :return: itself if others would not help
         """
-        put_back: list[Waiting] = []
-        may_be_others = largest_late and self._now <= job.need.start_by
+        deferred: list[Waiting] = []
+        may_be_others = largest_late and self._now <= job.demand.start_by
         while self.forecast(job).prospect is not _IN_TIME:
             chosen = self._next_late() if may_be_others else None
-            is_enough = len(put_back) == _MOST_PUT_BACK
+            is_enough = len(deferred) == _MOST_PUT_BACK
             if chosen is None or chosen is job or is_enough:
-                for other in put_back:
+                for other in deferred:
                     self.add(other)
                 self._take_out(job)
                 return [job]
             self._take_out(chosen)
-            put_back.append(chosen)
-        return put_back
+            deferred.append(chosen)
+        return deferred
 
     def _take_out(self, job: Waiting) -> None:
-        if not job.keeps_place:
+        if not job.is_scheduled_retry:
             self._largest.remove(_entry(job))
             heapq.heapify(self._largest)
-        self.work -= job.need.work
+        self.work -= job.demand.work
 
     def _next_late(self) -> Waiting | None:
         """Return the largest job whose answer is of use if it is late."""
         late = _forecast.Prospect.LATE
         for _, _, job in heapq.nsmallest(_MOST_LOOKS, self._largest):
-            told = self._forecaster.late(job.need, self.work)
+            told = self._forecaster.late(job.demand, self.work)
             if told.prospect is late:
                 return job
         return None
@@ -129,4 +131,4 @@
 
 def _entry(job: Waiting) -> tuple[float, int, Waiting]:
     """Return what sorts jobs by their work, the largest first."""
-    return (-job.need.work, job.number, job)
+    return (-job.demand.work, job.number, job)
--- a/src/ferryledge/leases/_meters.py
+++ b/src/ferryledge/leases/_meters.py
@@ -20,7 +20,7 @@
     def first_order(self, waited_s: float) -> None:
         """A job's first runs were ordered, after that many seconds."""
 
-    def put_back(self) -> None:
+    def deferred(self) -> None:
         """A job was put behind all that can be in time."""
 
     def ordered(self, count: int) -> None:
@@ -35,7 +35,7 @@
     def moved(self) -> None:
         """A run was moved off a slow endpoint."""
 
-    def retry_waits(self) -> None:
+    def retry_delayed(self) -> None:
         """A task waits for the budget of second tries."""
 
     def health_changed(self) -> None:
@@ -61,19 +61,19 @@
     def over(self, how: wire.HowEnded, held_s: float) -> None:
         """A run is over, after that many seconds."""
 
-    def unanswered(self) -> None:
+    def order_unanswered(self) -> None:
         """An order went without an answer."""
 
     def outage(self) -> None:
         """The endpoint is back after an outage that was not announced."""
 
-    def suspected(self) -> None:
+    def stream_suspected(self) -> None:
         """A stream counts as silent; a new one is opened beside it."""
 
-    def grant_ran_out(self) -> None:
+    def grant_expired(self) -> None:
         """A run is stopped for want of its entry's grant."""
 
-    def heartbeat_passed_over(self) -> None:
+    def heartbeat_ignored(self) -> None:
         """A heartbeat is not believed, or not yet."""
 
     def renewed(self, fault: str) -> None:
--- a/src/ferryledge/leases/_handing_on.py
+++ b/src/ferryledge/leases/_outgoing_handovers.py
@@ -22,7 +22,7 @@
 from ferryledge.leases import _cordons
 from ferryledge.leases import _entry_notes
 from ferryledge.leases import _jobs
-from ferryledge.leases import _spare_room
+from ferryledge.leases import _spare_capacity
 from ferryledge.leases import _timing
 from ferryledge import outcomes
 from ferryledge import wire
@@ -77,7 +77,7 @@
     job: _jobs.Job
     peer: str
     #: The peer's incarnation.
-    taker: str
+    delegate: str
     #: When the last sign was sent that counts for it.
     signed_at: float
     accepted: bool = False
@@ -85,7 +85,7 @@
     is_given_up: bool = False
 
 
-class HandingOn:
+class OutgoingHandovers:
     """Offers jobs to other entries and waits for what becomes of them.
 
     :param incarnation: this start of the process
@@ -168,10 +168,10 @@
         """
         asked = set()
         for job in late:
-            if job.is_handed_in or job.offers >= _MOST_OFFERS:
+            if job.is_incoming or job.offers >= _MOST_OFFERS:
                 continue
             service = job.request.job_class.service
-            name = self._pick(now, service, _spare_room.cpu_millis_of(job))
+            name = self._pick(now, service, _spare_capacity.cpu_millis_of(job))
             if name is not None:
                 self._offer(now, job, name)
             else:
@@ -216,16 +216,16 @@
     def _offer(self, now: float, job: _jobs.Job, name: str) -> None:
         service = job.request.job_class.service
         room = self._rooms[name, service]
-        room.cpu_millis -= _spare_room.cpu_millis_of(job)
+        room.cpu_millis -= _spare_capacity.cpu_millis_of(job)
         self._count += 1
         peer = self._peers[name]
         offer = Offer(self._count, job, name, peer.incarnation, now)
         self._offers[offer.number] = offer
         message = _offer_of(now, offer, self._incarnation, room.number)
-        job.is_away = True
+        job.is_delegated = True
         job.offers += 1
         # From now on it may have run.
-        job.offered_at = now
+        job.dispatched_at = now
         self._notes.offered(now, job, name, room.cpu_millis, room.heard_at)
         self._send(name, message)
 
@@ -233,7 +233,7 @@
         self, now: float, peer: str, answer: wire.OfferAnswered
     ) -> None:
         """Take in whether an offer is taken."""
-        offer = self._find(peer, answer.giver, answer.number)
+        offer = self._find(peer, answer.delegator, answer.number)
         if offer is None:
             return
         if answer.declined is None:
@@ -246,7 +246,7 @@
 
     def handled(self, now: float, peer: str, handled: wire.JobHandled) -> None:
         """Take in what became of a job."""
-        offer = self._find(peer, handled.giver, handled.number)
+        offer = self._find(peer, handled.delegator, handled.number)
         if offer is None:
             self._notes.result_dropped(peer, handled)
             return
@@ -263,20 +263,24 @@
             case wire.HowHandled.STOPPED:
                 offer.is_given_up = True
 
-    def _find(self, peer: str, giver: str, number: int) -> Offer | None:
+    def _find(self, peer: str, delegator: str, number: int) -> Offer | None:
         offer = self._offers.get(number)
-        if offer is None or offer.peer != peer or giver != self._incarnation:
+        if (
+            offer is None
+            or offer.peer != peer
+            or delegator != self._incarnation
+        ):
             return None
         return offer
 
     def _bring_back(self, offer: Offer) -> None:
         del self._offers[offer.number]
-        offer.job.is_away = False
+        offer.job.is_delegated = False
 
     def _return_untried(self, offer: Offer) -> None:
         """Take a job back that was not run."""
         self._bring_back(offer)
-        offer.job.offered_at = None
+        offer.job.dispatched_at = None
 
     def withdraw(self, job: _jobs.Job) -> None:
         """Have the runs of a job stopped that nobody waits for."""
@@ -290,16 +294,16 @@
 
     def asked(self, now: float, peer: str, ask: wire.AskHandedIn) -> None:
         """Let a taker go on with what it is still wanted for."""
-        if ask.giver != self._incarnation:
+        if ask.delegator != self._incarnation:
             return
         renewed = []
         for number in ask.offers:
-            offer = self._find(peer, ask.giver, number)
+            offer = self._find(peer, ask.delegator, number)
             if offer is not None and not self._is_lost(now, offer):
                 offer.accepted = True
                 offer.signed_at = now
                 renewed.append(number)
-        grant = wire.GrantHandedIn(ask.giver, ask.number, tuple(renewed))
+        grant = wire.GrantHandedIn(ask.delegator, ask.number, tuple(renewed))
         self._send(peer, grant)
 
     def _is_lost(self, now: float, offer: Offer) -> bool:
@@ -332,14 +336,14 @@
 
 
 def _offer_of(
-    now: float, offer: Offer, giver: str, room: int
+    now: float, offer: Offer, delegator: str, room: int
 ) -> wire.OfferJob:
     request = offer.job.request
     job_class = request.job_class
     return wire.OfferJob(
         offer.number,
-        giver,
-        offer.taker,
+        delegator,
+        offer.delegate,
         room,
         request.job,
         offer.job.pack_spec(),
--- a/src/ferryledge/leases/_owners.py
+++ b/src/ferryledge/leases/_owners.py
@@ -44,7 +44,7 @@
     heard_at: float = 0.0
     orders_seen: int = 0
     #: Whether it is one of those that the agent keeps up to date.
-    home: bool = True
+    is_primary: bool = True
     #: The state of the endpoint that it was told last.
     told: wire.EndpointState | None = None
     #: The part of it that all entries share.
@@ -62,7 +62,7 @@
     asked: int = 0
     asked_at: float = float("-inf")
     #: Asks whose answer is waited for, with when they were sent.
-    owed: dict[int, float] = msgspec.field(default_factory=dict)
+    unanswered_asks: dict[int, float] = msgspec.field(default_factory=dict)
     #: How long its answers take.
     answer_times: _answer_times.AnswerTimes = msgspec.field(
         default_factory=lambda: _answer_times.AnswerTimes(
@@ -81,14 +81,14 @@
     )
 
     @property
-    def oldest_owed_at(self) -> float:
+    def oldest_unanswered_at(self) -> float:
         """When the oldest ask was sent whose answer is waited for."""
-        return next(iter(self.owed.values()), float("inf"))
+        return next(iter(self.unanswered_asks.values()), float("inf"))
 
     @property
     def silent_at(self) -> float:
         """When its stream counts as silent if no answer comes."""
-        return self.oldest_owed_at + self.answer_times.limit_s
+        return self.oldest_unanswered_at + self.answer_times.limit_s
 
 
 class OwnerTable:
@@ -135,7 +135,7 @@
         return self._disconnected
 
     @property
-    def owing(self) -> abc.Collection[Owner]:
+    def awaiting_answer(self) -> abc.Collection[Owner]:
         """The entries that owe an answer."""
         return self._owing.values()
 
@@ -158,7 +158,7 @@
         )
 
     def _owe_nothing(self, owner: Owner) -> None:
-        owner.owed.clear()
+        owner.unanswered_asks.clear()
         owner.reopening = False
         self._owing.pop(owner.incarnation, None)
 
@@ -167,15 +167,19 @@
 
         :return: whether it owed an answer to that or to an older one
         """
-        if not owner.owed:
+        if not owner.unanswered_asks:
             return False
-        owed = [one for one in owner.owed if one <= number]
-        if not owed:
+        unanswered_asks = [
+            one for one in owner.unanswered_asks if one <= number
+        ]
+        if not unanswered_asks:
             return False
-        owner.answer_times.note(now - owner.owed[owed[0]])
-        for one in owed:
-            del owner.owed[one]
-        if not owner.owed:
+        owner.answer_times.note(
+            now - owner.unanswered_asks[unanswered_asks[0]]
+        )
+        for one in unanswered_asks:
+            del owner.unanswered_asks[one]
+        if not owner.unanswered_asks:
             del self._owing[owner.incarnation]
         return True
 
@@ -216,7 +220,7 @@
         """Take in an order's number and the grant that it brings."""
         owner.orders_seen = max(owner.orders_seen, order.number)
         self.changes += 1
-        self.granted(owner, order.ask_seen, order.less_ms)
+        self.granted(owner, order.ask_seen, order.shorten_by_ms)
         due = owner.granted_at + self._timing.idle_ask_every_s
         self._bring_forward(owner, due)
 
@@ -275,15 +279,15 @@
         owner.asked_at = now
         quiet = now - owner.heard_at >= self._timing.idle_answer_every_s
         if at_once or busy or quiet or owner.unconfirmed:
-            owner.owed[self._asked] = now
+            owner.unanswered_asks[self._asked] = now
             self._owing[owner.incarnation] = owner
         every = self._timing.ask_every_s
         if not busy:
             every = self._timing.idle_ask_every_s
-            if not owner.home:
+            if not owner.is_primary:
                 every = self._timing.far_ask_every_s
         owner.next_ask_at = self._next_beat(now, every)
-        return wire.AskLease(self._asked, self._asked in owner.owed)
+        return wire.AskLease(self._asked, self._asked in owner.unanswered_asks)
 
     def _next_beat(self, now: float, every: float) -> float:
         """Return the next ask's time, the same for all entries.
@@ -295,14 +299,16 @@
         beats = math.floor((soonest - self._phase * every) / every)
         return (beats + 1 + self._phase) * every
 
-    def granted(self, owner: Owner, number: int, less_ms: int = 0) -> None:
+    def granted(
+        self, owner: Owner, number: int, shorten_by_ms: int = 0
+    ) -> None:
         """Take in a grant; an unknown or older one changes nothing.
 
         It confirms what was sent before its ask: a stream keeps the order.
 
         :param owner: the entry
         :param number: of the ask that it answers
-        :param less_ms: milliseconds by which it ends sooner
+        :param shorten_by_ms: milliseconds by which it ends sooner
         """
         if owner.unconfirmed:
             owner.unconfirmed = [
@@ -311,7 +317,9 @@
         asked_at = owner.asks.pop(number, None)
         if asked_at is None:
             return
-        owner.granted_at = max(owner.granted_at, asked_at - less_ms / 1000.0)
+        owner.granted_at = max(
+            owner.granted_at, asked_at - shorten_by_ms / 1000.0
+        )
         for older in [one for one in owner.asks if one < number]:
             del owner.asks[older]
 
--- a/src/ferryledge/leases/_peers.py
+++ b/src/ferryledge/leases/_peers.py
@@ -45,15 +45,15 @@
     entry reads, all learn.
 
     :param cordons: the cordoned availability zones
-    :param is_narrow: whether configurations hold up this machine's link
+    :param is_narrow_link: whether configurations hold up this machine's link
     """
 
     def __init__(
-        self, cordons: _cordons.Cordons, is_narrow: bool = False
+        self, cordons: _cordons.Cordons, is_narrow_link: bool = False
     ) -> None:
         self._cordons = cordons
         self._exchange = _config_exchange.ConfigExchange()
-        self._readers = _config_readers.ConfigReaders(is_narrow)
+        self._readers = _config_readers.ConfigReaders(is_narrow_link)
         self._entries: dict[str, wire.EntryAddress] = {}
         self._peers: dict[str, _Peer] = {}
         #: Since when some peer is known to have a newer one.
@@ -71,7 +71,7 @@
         return self._exchange.digest
 
     @property
-    def reader(self) -> str:
+    def config_reader(self) -> str:
         """The agent that reads configurations for this entry, or empty."""
         return self._readers.current
 
@@ -104,7 +104,7 @@
             self._send(hello.name, self._alive())
         if hello.reads_configs and self._readers.join(hello.name):
             self._ask_reader()
-        elif hello.name == self.reader:
+        elif hello.name == self.config_reader:
             # It has forgotten this entry with its former stream.
             self._ask_reader()
 
@@ -114,14 +114,14 @@
         if self._readers.leave(name):
             self._ask_reader()
 
-    def miss_config(self) -> None:
+    def replace_config_reader(self) -> None:
         """Ask another agent: the present one missed a configuration."""
         if self._readers.fail():
             self._ask_reader()
 
     def _ask_reader(self) -> None:
         request = wire.ConfigRequest(self._exchange.digest, follow=True)
-        self._send(self.reader, request)
+        self._send(self.config_reader, request)
 
     def learn_entries(self, entries: tuple[wire.EntryAddress, ...]) -> None:
         """Take in addresses; a changed one replaces the former."""
@@ -148,35 +148,35 @@
         for name in self.entry_names():
             self._send(name, self._alive())
 
-    def take_delta(self, name: str, delta: wire.ConfigDelta) -> None:
+    def apply_config_delta(self, name: str, delta: wire.ConfigDelta) -> None:
         """Take in how a peer's configuration differs, or ask for all."""
         if delta.version <= self.version:
             return
         try:
             data = self._exchange.restore(delta)
         except _config_exchange.ExchangeError:
-            follow = name == self.reader
+            follow = name == self.config_reader
             self._send(name, wire.ConfigRequest(follow=follow))
             return
         self.learn_config(delta.version, data, delta.log_end)
 
-    def give_config(self, name: str, request: wire.ConfigRequest) -> None:
+    def send_config(self, name: str, request: wire.ConfigRequest) -> None:
         """Send an entry that asks for it the configuration, if any."""
         peer = self._peers.get(name)
         if not self.version or peer is None:
             return
         if peer.config_deltas:
-            self._send(name, self._exchange.answer(request.digest))
+            self._send(name, self._exchange.delta_for(request.digest))
         else:
             self._send(name, self._reply())
 
-    def hear_version(self, name: str, version: int) -> None:
+    def note_version(self, name: str, version: int) -> None:
         """Take in which configuration a peer has."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.version = version
 
-    def catch_up(self, now: float) -> None:
+    def request_newer_config(self, now: float) -> None:
         """Ask a peer for a newer configuration that the store does not tell.
 
         :param now: monotonic seconds
@@ -208,7 +208,7 @@
             self._tell_cordons(name)
         return True
 
-    def hear_cordons(self, name: str, state: wire.CordonedZones) -> bool:
+    def reconcile_cordons(self, name: str, state: wire.CordonedZones) -> bool:
         """Take in what a peer says of cordoned zones, or correct it.
 
         :return: whether that is news
@@ -222,13 +222,13 @@
         if peer is not None and peer.cordons:
             self._send(name, self._cordons.state)
 
-    def heard(self, now: float, name: str) -> None:
+    def note_received(self, now: float, name: str) -> None:
         """Note that a message came from a peer."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.heard_at = now
 
-    def keep_alive(self, now: float) -> None:
+    def send_keep_alives(self, now: float) -> None:
         """Show other entries that this one is alive; drop silent streams."""
         for name in self.entry_names():
             peer = self._peers[name]
@@ -239,7 +239,7 @@
                 peer.told_at = now
                 self._send(name, self._alive())
 
-    def forgive_silence(self, now: float) -> None:
+    def reset_silence_timers(self, now: float) -> None:
         """Start counting silence anew: this process was paused itself."""
         for peer in self._peers.values():
             peer.heard_at = now
--- a/src/ferryledge/leases/_placing.py
+++ b/src/ferryledge/leases/_placement.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
+from ferryledge.leases import _job_ranking
 from ferryledge.leases import _jobs
 from ferryledge.leases import _pool
 from ferryledge.leases import _quarantine
 from ferryledge.leases import _retry_budget
 from ferryledge.leases import _timing
-from ferryledge.leases import _turns
 from ferryledge import placement
 from ferryledge import wire
 
@@ -47,15 +47,15 @@
     return int.from_bytes(hashlib.blake2b(text, digest_size=2).digest())
 
 
-class Placing:
+class Placer:
     """Chooses endpoints for waiting tasks.
 
     :param name: this entry
     :param pool: the agents
     :param run_times: what was learned of run times and speeds
-    :param far_factor: how many times as long a task takes away from its data
-    :param turns: the order of waiting jobs
-    :param retries: how many tasks may be tried again
+    :param remote_factor: how many times as long a task takes away from its data
+    :param ranking: the order of waiting jobs
+    :param retry_budget: how many tasks may be tried again
     """
 
     def __init__(
@@ -63,30 +63,33 @@
         name: str,
         pool: _pool.Pool,
         run_times: placement.RunTimes,
-        far_factor: float,
-        turns: _turns.Turns,
-        retries: _retry_budget.RetryBudget,
+        remote_factor: float,
+        ranking: _job_ranking.JobRanking,
+        retry_budget: _retry_budget.RetryBudget,
     ) -> None:
         self._name = name
         self._pool = pool
         self._run_times = run_times
-        self._far_factor = far_factor
-        self._turns = turns
-        self._retries = retries
+        self._remote_factor = remote_factor
+        self._job_ranking = ranking
+        self._retries = retry_budget
         #: Endpoints that are used in part, with the share to use.
         self._shares: dict[str, float] = {}
         self._ranks: dict[str, int] = {}
 
     def place(
-        self, now: float, jobs: abc.Iterable[_jobs.Job], gap_s: float = 0.0
+        self,
+        now: float,
+        jobs: abc.Iterable[_jobs.Job],
+        start_interval_s: float = 0.0,
     ) -> abc.Iterator[Placement]:
         """Yield placements; each is to be ordered before the next is asked.
 
         :param now: monotonic seconds
         :param jobs: those with waiting tasks
-        :param gap_s: seconds between two starts while the pool is full
+        :param start_interval_s: seconds between two starts while the pool is full
         """
-        waiting = self._turns.sort(now, jobs, gap_s)
+        waiting = self._job_ranking.sort(now, jobs, start_interval_s)
         if not waiting:
             return
         open_rows = [
@@ -94,13 +97,13 @@
             for row in self._pool
             if row.usable(now) and (not row.slow or row.may_try(now))
         ]
-        if self._turns.rules.damped_flaps:
-            held_back = _quarantine.held_back(self._pool)
+        if self._job_ranking.rules.damped_flaps:
+            usable_shares = _quarantine.usable_shares(self._pool)
         else:
-            held_back = {}
+            usable_shares = {}
         least = min(_smallest_cpu(job) for job in waiting)
         rows = _with_room(open_rows, least)
-        self._shares = held_back
+        self._shares = usable_shares
         rows.sort(key=self._order)
         for job in waiting:
             if not rows:
@@ -108,7 +111,7 @@
             _forget_avoided(job, open_rows)
             placed = False
             # Late for want of better room is no better than lost.
-            self._shares = {} if _has_waited(now, job) else held_back
+            self._shares = {} if _has_waited(now, job) else usable_shares
             for chosen in self._place_job(now, job, rows):
                 placed = True
                 yield chosen
@@ -117,15 +120,15 @@
 
     def _order(self, row: _pool.AgentRow) -> tuple[bool, bool, bool, int, int]:
         slowness = 0.0
-        if self._turns.rules.fast_first:
+        if self._job_ranking.rules.fast_first:
             seen = self._run_times.slowness(row.name)
             slowness = max(seen, row.state.slowness)
         rank = self._ranks.get(row.name)
         if rank is None:
             rank = self._ranks[row.name] = _preference(self._name, row)
         steps = int(slowness / _SLOWNESS_GRAIN)
-        shaky = row.doubted or row.name in self._shares
-        return (shaky, row.state.cold, not row.state.home, steps, rank)
+        shaky = row.is_suspect or row.name in self._shares
+        return (shaky, row.state.cold, not row.state.is_primary, steps, rank)
 
     def _place_job(
         self, now: float, job: _jobs.Job, rows: list[_pool.AgentRow]
@@ -141,7 +144,7 @@
                 # lose a run or to be blamed.
                 near = sorted(near, key=_is_in_use)
             if any(task.failures for task in tasks):
-                bad = _quarantine.doubted_zones(self._pool)
+                bad = _quarantine.suspect_zones(self._pool)
                 near = sorted(near, key=lambda row: row.zone in bad)
             for row in near:
                 if not tasks:
@@ -154,7 +157,7 @@
 
     def _may_retry(self, now: float) -> int:
         """Return how many tasks may be tried again now."""
-        if not self._turns.rules.retry_budget:
+        if not self._job_ranking.rules.retry_budget:
             return sys.maxsize
         return self._retries.left(now)
 
@@ -174,7 +177,7 @@
             return rows
         near = [row for row in rows if step.near in row.state.labels]
         far = [row for row in rows if step.near not in row.state.labels]
-        in_time = now + job.expected_s * self._far_factor < job.objective_at
+        in_time = now + job.expected_s * self._remote_factor < job.objective_at
         if in_time or now > job.start_by:
             return near + far
         return near
@@ -200,7 +203,9 @@
         if left_s and job.expected_s * _timing.RUN_MARGIN > left_s:
             return []
         most = step.max_per_endpoint or len(tasks)
-        room = _quarantine.room_of(row, self._shares.get(row.name, 1.0), most)
+        room = _quarantine.usable_room(
+            row, self._shares.get(row.name, 1.0), most
+        )
         free = room.free
         most = room.tasks
         if row.slow:
@@ -229,7 +234,7 @@
     :param again: how many of them may have failed before
     """
     for task in tasks:
-        if row.name in task.avoid:
+        if row.name in task.avoided_agents:
             continue
         if task.failures:
             if not again:
@@ -264,13 +269,13 @@
 
 def _forget_avoided(job: _jobs.Job, rows: list[_pool.AgentRow]) -> None:
     """Let tasks run anywhere again that have been everywhere already."""
-    avoiding = [task for task in job.startable() if task.avoid]
+    avoiding = [task for task in job.startable() if task.avoided_agents]
     if not avoiding:
         return
     names = {row.name for row in rows}
     for task in avoiding:
-        if names and names <= task.avoid:
-            task.avoid.clear()
+        if names and names <= task.avoided_agents:
+            task.avoided_agents.clear()
 
 
 def unfit_steps(
@@ -283,7 +288,7 @@
             yield step
 
 
-def is_unfit(pool: _pool.Pool, job: _jobs.Job) -> bool:
+def is_infeasible(pool: _pool.Pool, job: _jobs.Job) -> bool:
     """Return whether no endpoint that is known could run some step."""
     return next(unfit_steps(pool, job), None) is not None
 
--- a/src/ferryledge/leases/_pool.py
+++ b/src/ferryledge/leases/_pool.py
@@ -55,11 +55,11 @@
     #: Whether its endpoint takes work by the judge of health.
     healthy: bool = True
     #: Whether it gets one task, whose end decides on its health.
-    on_trial: bool = False
+    awaits_probe: bool = False
     #: Failure rate that its agent tells for callers of this zone.
     told_rate: float = 0.0
     #: Whether there is evidence against it for callers of this zone.
-    doubted: bool = False
+    is_suspect: bool = False
     #: Whether its zone takes no new work.
     cordoned: bool = False
     #: When a run was last tried on it while it was slow.
@@ -79,7 +79,10 @@
 
         One that is cold does what it should.
         """
-        return self.state.slowness >= _speed.SLOW_FROM and not self.state.cold
+        return (
+            self.state.slowness >= _speed.SLOW_THRESHOLD
+            and not self.state.cold
+        )
 
     def may_try(self, now: float) -> bool:
         """Return whether a slow endpoint may get one run, to see."""
@@ -100,7 +103,7 @@
 
     def is_heard(self, now: float) -> bool:
         """Return whether the agent sent anything lately."""
-        quiet_s = _QUIET_S if self.state.home else _FAR_QUIET_S
+        quiet_s = _QUIET_S if self.state.is_primary else _FAR_QUIET_S
         return now - self.heard_at < quiet_s
 
 
@@ -192,11 +195,11 @@
         ]
 
     def _silence_s(self, row: AgentRow) -> float:
-        if row.state.home or row.runs:
+        if row.state.is_primary or row.runs:
             return self._timing.silence_s
         return self._timing.far_silence_s
 
-    def over(self, now: float) -> list[AgentRow]:
+    def expired(self, now: float) -> list[AgentRow]:
         """Return agents without a stream whose runs must all be over."""
         return [
             row
@@ -206,7 +209,7 @@
             and now - row.granted_at > self._timing.over_after_s
         ]
 
-    def forgive_silence(self, now: float) -> None:
+    def reset_silence_timers(self, now: float) -> None:
         """Start counting silence anew: this process was paused itself."""
         for row in self._rows.values():
             row.heard_at = now
@@ -259,7 +262,7 @@
             return False
         return now - self._usable_at < _HOPE_S
 
-    def sharers(self, now: float, service: str | None = None) -> float:
+    def sharing_entries(self, now: float, service: str | None = None) -> float:
         """Return how many entries share a core that can be used.
 
         :param now: monotonic seconds
--- a/src/ferryledge/leases/_share.py
+++ b/src/ferryledge/leases/_pool_share.py
@@ -2,18 +2,18 @@
 
 import math
 
-from ferryledge.leases import _own_link
+from ferryledge.leases import _uplink
 
 #: Seconds over which the work that was started is averaged: a few hundred
 #: starts at the users' load, and shorter than a burst.
-_SPAN_S = _own_link.SPAN_S
+_SPAN_S = _uplink.AVERAGING_S
 #: Weight of the newest order in what orders usually take and bring.
 _DECAY = 0.05
 #: Share of the link that orders are taken to get whatever else is sent.
 _LEAST_LINK_SHARE = 0.2
 
 
-class Share:
+class PoolShare:
     """The cores that work of this entry gets while jobs wait.
 
     The entries share the pool without a central count. What an entry got
@@ -24,8 +24,8 @@
     :param link: the entry's own
     """
 
-    def __init__(self, link: _own_link.OwnLink | None = None) -> None:
-        self._link = link or _own_link.OwnLink()
+    def __init__(self, link: _uplink.Uplink | None = None) -> None:
+        self._link = link or _uplink.Uplink()
         self._started = 0.0
         self._tasks = 0.0
         self._bytes = 0.0
@@ -34,7 +34,7 @@
         self._order_bytes = 0.0
         self._order_work = 0.0
         #: Seconds between two starts of waiting tasks, at this share.
-        self.gap_s = 0.0
+        self.start_interval_s = 0.0
 
     def note_started(
         self, now: float, work: float, tasks: int, size: int = 0
@@ -74,7 +74,7 @@
         if self._order_bytes <= 0.0:
             return math.inf
         orders = self._bytes * self._decay(now)
-        others = (self._link.sent_lately(now) - orders) / _SPAN_S
+        others = (self._link.recent_bytes(now) - orders) / _SPAN_S
         rate = self._link.bytes_per_s
         left = max(_LEAST_LINK_SHARE * rate, rate - max(0.0, others))
         return left * self._order_work / self._order_bytes
@@ -83,7 +83,7 @@
         """Work out the gap between starts anew."""
         cores = self.cores(now, pool_cores, entries)
         if cores > 0.0 and self._tasks > 0.0:
-            self.gap_s = self._started / self._tasks / cores
+            self.start_interval_s = self._started / self._tasks / cores
 
     def _decay(self, now: float) -> float:
         return math.exp((self._started_at - now) / _SPAN_S)
--- a/src/ferryledge/leases/_quarantine.py
+++ b/src/ferryledge/leases/_quarantine.py
@@ -30,7 +30,7 @@
     tasks: int
 
 
-def held_back(rows: abc.Iterable[_pool.AgentRow]) -> dict[str, float]:
+def usable_shares(rows: abc.Iterable[_pool.AgentRow]) -> dict[str, float]:
     """Return the endpoints to be used in part, with the share to use.
 
     :param rows: all agents of the pool
@@ -50,7 +50,7 @@
     return shares
 
 
-def room_of(row: _pool.AgentRow, share: float, tasks: int) -> Room:
+def usable_room(row: _pool.AgentRow, share: float, tasks: int) -> Room:
     """Return what of an endpoint is to be used.
 
     One on which nothing runs gets a task at the least: without any it would
@@ -62,7 +62,7 @@
     """
     free = row.free
     is_idle = free == row.state.capacity
-    if row.on_trial or (is_idle and not share):
+    if row.awaits_probe or (is_idle and not share):
         return Room(free, min(1, tasks))
     if share >= 1.0:
         return Room(free, tasks)
@@ -72,11 +72,11 @@
     return Room(free, tasks)
 
 
-def doubted_zones(rows: abc.Iterable[_pool.AgentRow]) -> set[str]:
+def suspect_zones(rows: abc.Iterable[_pool.AgentRow]) -> set[str]:
     """Return the zones at least half of whose endpoints are in doubt."""
     by_zone: dict[str, list[bool]] = {}
     for row in rows:
-        is_in_doubt = row.doubted or not row.healthy
+        is_in_doubt = row.is_suspect or not row.healthy
         by_zone.setdefault(row.zone, []).append(is_in_doubt)
     return {
         zone
--- a/src/ferryledge/leases/_reports.py
+++ b/src/ferryledge/leases/_reports.py
@@ -8,7 +8,7 @@
 from ferryledge.leases import _owners
 from ferryledge.leases import _runs
 from ferryledge.leases import _speed
-from ferryledge.leases import _states
+from ferryledge.leases import _state_reports
 from ferryledge import wire
 
 #: Seconds between reports of runs that a slow endpoint holds up.
@@ -40,9 +40,9 @@
         self._runs = runs
         self._notes = notes
         self._send = send
-        self._turns = _states.Turns()
+        self._turns = _state_reports.ReportTurns()
         #: The state told last, kept as one object while it stays the same.
-        self._state = wire.EndpointState(home=False)
+        self._state = wire.EndpointState(is_primary=False)
         #: The changes among the entries that were looked at last.
         self._changes = -1
         self._late_told_at = float("-inf")
@@ -87,8 +87,8 @@
         if owner is None:
             return
         run = row.key.task_run
-        if not row.may_run and row.release is not None:
-            self.tell_released(owner, row.key.job, (run,), row.release)
+        if not row.is_confirmed and row.release_reason is not None:
+            self.tell_released(owner, row.key.job, (run,), row.release_reason)
             return
         run_s = 0.0
         if row.confirmed_at is not None:
@@ -115,17 +115,17 @@
 
         On one that does well these are the runs that hang.
         """
-        is_slow = speed.reported >= _speed.SLOW_FROM
+        is_slow = speed.reported_slowness >= _speed.SLOW_THRESHOLD
         if now - self._late_told_at < _LATE_S:
             return
         self._late_told_at = now
         for owner in self._owners.connected:
             runs = tuple(
-                _late_run(now, row, row.pace, speed)
+                _late_run(now, row, row.progress, speed)
                 for row in self._runs.of_owner(owner.incarnation)
-                if row.pace is not None
+                if row.progress is not None
                 and row.state is _runs.RunState.RUNNING
-                and (is_slow or row.pace.is_hung(now))
+                and (is_slow or row.progress.is_hung(now))
             )
             if runs:
                 self._send(owner, wire.LateRuns(runs))
@@ -142,40 +142,44 @@
         if state != self._state:
             self._state = state
         self._changes = self._owners.changes
-        self._turns.see(now, state.free)
+        self._turns.note_free(now, state.free)
         self.due_at = float("inf")
         owners = self._owners.connected
         self._choose_homes(owners)
         wanted_by = {
-            owner.name: owner.wanted_by for owner in owners if owner.home
+            owner.name: owner.wanted_by for owner in owners if owner.is_primary
         }
-        order = self._turns.order(wanted_by)
+        report_order = self._turns.report_order(wanted_by)
         for owner in owners:
-            shown_at = None
-            if owner.home:
-                shown_at = self._turns.shown_at(order.index(owner.name))
-            self._tell_owner(now, owner, shown_at)
+            announce_at = None
+            if owner.is_primary:
+                announce_at = self._turns.announce_at(
+                    report_order.index(owner.name)
+                )
+            self._tell_owner(now, owner, announce_at)
 
     def _choose_homes(self, owners: abc.Iterable[_owners.Owner]) -> None:
         names = tuple(sorted(owner.name for owner in owners))
-        homes = _states.homes_of(self._name, names)
+        primary_entries = _state_reports.primary_entries_of(self._name, names)
         for owner in owners:
-            owner.home = owner.name in homes
+            owner.is_primary = owner.name in primary_entries
 
     def _tell_owner(
-        self, now: float, owner: _owners.Owner, shown_at: float | None
+        self, now: float, owner: _owners.Owner, announce_at: float | None
     ) -> None:
-        if _knows(owner, self._state, owner.home):
+        if _knows(owner, self._state, owner.is_primary):
             return
         if _can_tell(owner, self._state):
             return
         state = msgspec.structs.replace(
-            self._state, orders_seen=owner.orders_seen, home=owner.home
+            self._state,
+            orders_seen=owner.orders_seen,
+            is_primary=owner.is_primary,
         )
         told = owner.told
         if told is not None and owner.expects is not None:
             told = msgspec.structs.replace(told, free=owner.expects)
-        due = _states.due_at(told, owner.told_at, state, shown_at)
+        due = _state_reports.due_at(told, owner.told_at, state, announce_at)
         if due > now:
             self.due_at = min(self.due_at, due)
             return
@@ -187,7 +191,7 @@
 
 
 def _knows(
-    owner: _owners.Owner, state: wire.EndpointState, home: bool
+    owner: _owners.Owner, state: wire.EndpointState, is_primary: bool
 ) -> bool:
     """Return whether an entry was told just that last."""
     told = owner.told
@@ -195,7 +199,7 @@
         told is not None
         and owner.told_of is state
         and told.orders_seen == owner.orders_seen
-        and told.home is home
+        and told.is_primary is is_primary
     )
 
 
@@ -208,20 +212,21 @@
     return (
         owner.told is not None
         and owner.told_of is not None
-        and owner.told.home is owner.home
+        and owner.told.is_primary is owner.is_primary
         and owner.expects == state.free
-        and _states.but_room(owner.told_of) == _states.but_room(state)
+        and _state_reports.state_without_free(owner.told_of)
+        == _state_reports.state_without_free(state)
     )
 
 
 def _late_run(
     now: float,
     row: _runs.RunRow,
-    pace: _speed.RunPace,
+    progress: _speed.RunProgress,
     speed: _speed.EndpointSpeed,
 ) -> wire.LateRun:
     run = row.key.task_run
-    if pace.rate <= 0.0:
+    if progress.rate <= 0.0:
         return wire.LateRun(row.key.job, run, None, None)
-    normal_s = 1.0 / (pace.rate * speed.slowness)
-    return wire.LateRun(row.key.job, run, pace.left_s(now), normal_s)
+    normal_s = 1.0 / (progress.rate * speed.slowness)
+    return wire.LateRun(row.key.job, run, progress.left_s(now), normal_s)
--- a/src/ferryledge/leases/_returns.py
+++ b/src/ferryledge/leases/_retry_schedule.py
@@ -35,7 +35,7 @@
     work: float
 
 
-class Returns:
+class RetrySchedule:
     """Retries that refused clients were told to make.
 
     :param rng: adds jitter to retries for which no capacity is forecast
@@ -46,19 +46,19 @@
         #: Scheduled retries by job name, the oldest first.
         self._retries: dict[str, _Retry] = {}
 
-    def promise(
+    def schedule(
         self,
         now: float,
         name: str,
         work: float,
-        room_in: abc.Callable[[float], float],
+        queueing_delay: abc.Callable[[float], float],
     ) -> float:
         """Return the seconds after which a refused client should retry.
 
         :param now: monotonic seconds
         :param name: name of the refused job
         :param work: core-seconds of the job
-        :param room_in: returns the delay in seconds of additional
+        :param queueing_delay: returns the delay in seconds of additional
             core-seconds of work behind all waiting work
         """
         self._expire(now)
@@ -70,14 +70,14 @@
             for retry in self._retries.values()
             if retry.due_at > now
         )
-        delay_s = room_in(reserved + work)
+        delay_s = queueing_delay(reserved + work)
         if delay_s > _LONGEST_S:
             delay_s = _LONGEST_S * (1.0 - 0.5 * self._rng.random())
         self._retries.pop(name, None)
         self._retries[name] = _Retry(now + delay_s, work)
         return delay_s
 
-    def come(self, now: float, name: str) -> bool:
+    def claim(self, now: float, name: str) -> bool:
         """Return whether an admitted job is a retry at its scheduled time.
 
         :param now: monotonic seconds
--- a/src/ferryledge/leases/_stopping.py
+++ b/src/ferryledge/leases/_run_stopper.py
@@ -22,7 +22,7 @@
 Act = abc.Callable[[_agent_events.AgentAction], None]
 
 
-class Stopping:
+class RunStopper:
     """Orders stops and repeats them until the endpoint confirms them.
 
     :param runs: what the endpoint holds
@@ -61,7 +61,7 @@
         now: float,
         key: _runs.RunKey,
         owner: _owners.Owner | None = None,
-        release: wire.NotStarted | None = None,
+        release_reason: wire.NotStarted | None = None,
     ) -> None:
         """Stop a run; nothing happens if that was ordered before.
 
@@ -69,7 +69,7 @@
         :param key: the run
         :param owner: the entry that asks, which must own it; none if this
             agent decides
-        :param release: what its entry is told should it never have started
+        :param release_reason: what its entry is told should it never have started
         """
         row = self._runs.find(key)
         if row is None or row.state is _runs.RunState.STOPPING:
@@ -77,16 +77,16 @@
         if owner is not None and row.owner != owner.incarnation:
             return
         row.state = _runs.RunState.STOPPING
-        row.release = release
+        row.release_reason = release_reason
         self._order(now, row)
 
-    def stop_anew(self, now: float, row: _runs.RunRow) -> None:
+    def stop_after_restart(self, now: float, row: _runs.RunRow) -> None:
         """Stop a run whose order an endpoint that started again may have.
 
         What it confirmed before, and the clock of before, count no more.
         """
         row.state = _runs.RunState.STOPPING
-        row.release = row.release or wire.NotStarted.NO_ANSWER
+        row.release_reason = row.release_reason or wire.NotStarted.NO_ANSWER
         row.expires_ms = 0
         row.stop_confirmed_at = None
         self._order(now, row)
@@ -111,7 +111,7 @@
         if row is None:
             return
         row.stop_confirmed_at = now
-        if row.release is not None:
+        if row.release_reason is not None:
             # Its task waits to be ordered elsewhere: don't wait for the
             # renewal that is on its way, nor for a stop of what had begun.
             # A lost order cost 72 ms at the least, and costs 22 (simulation).
@@ -137,7 +137,7 @@
         """Stop what an entry does not answer for any more."""
         for row in self._runs.of_owner(owner.incarnation):
             if row.state is not _runs.RunState.STOPPING:
-                self._notes.grant_ran_out(now, owner, row)
+                self._notes.grant_expired(now, owner, row)
             self.stop(now, row.key)
 
     def _with_runs(self) -> list[_owners.Owner]:
@@ -163,7 +163,7 @@
         if row.stop_sent_at is None:
             return float("inf")
         if row.stops_sent > _QUICK_STOPS:
-            return row.stop_sent_at + self._timing.order_s
+            return row.stop_sent_at + self._timing.order_timeout_s
         return row.stop_sent_at + self._answer_times.limit_s
 
     def _list_runs(self, now: float) -> None:
@@ -182,7 +182,7 @@
         What is listed as running tells its end by the usual renewals.
         """
         stopped = row.stop_confirmed_at is not None
-        return stopped and row.release is not None and not row.listed
+        return stopped and row.release_reason is not None and not row.listed
 
     def due_at(self) -> float:
         """Return when to tick at the latest."""
--- a/src/ferryledge/leases/_run_tracking.py
+++ b/src/ferryledge/leases/_run_tracker.py
@@ -10,9 +10,9 @@
 from ferryledge.leases import _job_table
 from ferryledge.leases import _jobs
 from ferryledge.leases import _moving
-from ferryledge.leases import _own_link
 from ferryledge.leases import _pool
 from ferryledge.leases import _retry_budget
+from ferryledge.leases import _uplink
 from ferryledge import outcomes
 from ferryledge import placement
 from ferryledge import wire
@@ -30,20 +30,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
-class Decided:
+class DecidedJob:
     """A job whose answer is known."""
 
     job: _jobs.Job
     outcome: outcomes.JobOutcome
 
 
-class RunTracking:
+class RunTracker:
     """Binds tasks to agents and takes them back when their runs are over.
 
     :param jobs: the jobs that are held
     :param pool: the agents
     :param run_times: learns from ends
-    :param judge: of the endpoints' health
+    :param health_tracker: of the endpoints' health
     :param notes: what is decided
     :param link: the entry's own
     :param send: sends a message to an agent
@@ -54,21 +54,21 @@
         jobs: _job_table.JobTable,
         pool: _pool.Pool,
         run_times: placement.RunTimes,
-        judge: health.HealthJudge,
+        health_tracker: health.HealthTracker,
         notes: _entry_notes.EntryNotes,
-        link: _own_link.OwnLink,
+        link: _uplink.Uplink,
         send: Send,
     ) -> None:
         self._jobs = jobs
         self._pool = pool
         self._run_times = run_times
-        self._judge = judge
+        self._health_tracker = health_tracker
         self._notes = notes
         self._link = link
         self._send = send
         self._crashes = _crashes.CrashWatch()
         #: How many tasks may be tried again.
-        self.retries = _retry_budget.RetryBudget()
+        self.retry_budget = _retry_budget.RetryBudget()
 
     def order(
         self,
@@ -83,15 +83,15 @@
         """
         need = job.request.steps[tasks[0].step].need
         again = sum(task.failures > 0 for task in tasks)
-        self.retries.note_started(now, len(tasks) - again, again)
+        self.retry_budget.note_started(now, len(tasks) - again, again)
         for task in tasks:
             job.set_state(task, _jobs.TaskState.BOUND)
             task.run += 1
             task.agent = row.name
             task.ordered_at = now
             row.runs.add((job.name, task.task_run))
-        if job.offered_at is None:
-            job.offered_at = now
+        if job.dispatched_at is None:
+            job.dispatched_at = now
         # On a link of 2 Mbit/s specs of 1.2 kB are four fifths of all that an
         # entry sends; packing saves 0.4 of them and takes 0.1 ms a job.
         packs = row.packed_texts and self._link.is_busy(now)
@@ -105,7 +105,7 @@
             job.expected_s,
             row.ask_seen,
             job.pack_spec() if packs else b"",
-            self.less_ms(now, row),
+            self.shorten_by_ms(now, row),
         )
         row.granted_at = now
         row.ask_answered = row.ask_seen
@@ -114,22 +114,28 @@
         self._notes.ordered(now, job, row, tasks, slowness)
         if row.slow:
             row.tried_at = now
-        if not isinstance(self._judge.state(row.name), health.Healthy):
-            self._judge.probe_sent(row.name)
+        if not isinstance(
+            self._health_tracker.state(row.name), health.Healthy
+        ):
+            self._health_tracker.probe_sent(row.name)
             row.healthy = False
-            row.on_trial = False
-        return _own_link.size_of(order) + _own_link.PACKET_BYTES
+            row.awaits_probe = False
+        return _uplink.size_of(order) + _uplink.PACKET_BYTES
 
-    def less_ms(self, now: float, row: _pool.AgentRow) -> int:
+    def shorten_by_ms(self, now: float, row: _pool.AgentRow) -> int:
         """Return by how many ms sooner a grant to an agent has to end.
 
         Runs of another entry's job must end in time after the last sign of
         that entry, also if this one is lost meanwhile.
         """
-        signed = self._jobs.signed
-        if not signed:
+        authorised_at = self._jobs.authorised_at
+        if not authorised_at:
             return 0
-        ages = [now - signed[name] for name, _ in row.runs if name in signed]
+        ages = [
+            now - authorised_at[name]
+            for name, _ in row.runs
+            if name in authorised_at
+        ]
         return math.ceil(1000.0 * max(ages, default=0.0))
 
     def stop(self, job: _jobs.Job, tasks: list[_jobs.Task]) -> None:
@@ -157,12 +163,12 @@
         self._take_back_probe(row)
         self._notes.not_started(job, row, run, reason)
         if reason in _COSTS_TRUST:
-            task.avoid.add(row.name)
+            task.avoided_agents.add(row.name)
         self._jobs.drop_if_over(job)
 
     def ended(
         self, now: float, row: _pool.AgentRow, name: str, end: wire.RunEnd
-    ) -> Decided | None:
+    ) -> DecidedJob | None:
         """Take in the end of a run.
 
         :return: the job's answer, if this end decides it
@@ -182,13 +188,13 @@
                 decided = self._if_done(job)
             case wire.HowEnded.FAILED:
                 task.failures += 1
-                task.avoid.add(row.name)
+                task.avoided_agents.add(row.name)
                 self._judge_end(now, row, job, False)
                 decided = self._if_hopeless(job, task, row)
-                if decided is None and not self.retries.left(now):
-                    self._notes.retry_waits(job, task)
+                if decided is None and not self.retry_budget.left(now):
+                    self._notes.retry_delayed(job, task)
             case wire.HowEnded.LOST if end.crashed_jobs:
-                task.avoid.add(row.name)
+                task.avoided_agents.add(row.name)
                 task.crashes.append(
                     self._crashes.note(now, row.name, name, end.crashed_jobs)
                 )
@@ -234,45 +240,45 @@
         self, now: float, row: _pool.AgentRow, job: _jobs.Job, ok: bool
     ) -> None:
         name = job.request.job_class.name
-        self._judge.ended(row.name, name, job.name, ok, now)
+        self._health_tracker.ended(row.name, name, job.name, ok, now)
         self._note_doubt(row)
         self._note_health(row, job.name)
 
     def _note_doubt(self, row: _pool.AgentRow) -> None:
         """Let an endpoint come last while something speaks against it."""
-        rate = max(row.told_rate, self._judge.failure_rate(row.name))
-        row.doubted = rate >= _DOUBT_FROM
+        rate = max(row.told_rate, self._health_tracker.failure_rate(row.name))
+        row.is_suspect = rate >= _DOUBT_FROM
 
     def _note_health(self, row: _pool.AgentRow, name: str = "") -> None:
         """Use an endpoint, or not, by what the judge thinks of it now."""
-        state = self._judge.state(row.name)
+        state = self._health_tracker.state(row.name)
         healthy = isinstance(state, health.Healthy)
         if isinstance(state, health.Probing) and not state.sent:
             return  # It takes its one task.
         if healthy != row.healthy:
-            self._notes.judged(name, row, state)
+            self._notes.health_changed(name, row, state)
         row.healthy = healthy
-        row.on_trial = False
+        row.awaits_probe = False
 
     def _take_back_probe(self, row: _pool.AgentRow) -> None:
         """Let an endpoint be probed again whose probe tells nothing."""
-        match self._judge.state(row.name):
+        match self._health_tracker.state(row.name):
             case health.Probing(sent=True):
-                self._judge.probe_lost(row.name)
+                self._health_tracker.probe_lost(row.name)
                 row.healthy = True
-                row.on_trial = True
+                row.awaits_probe = True
             case _:
                 pass
 
-    def probe(self, now: float) -> None:
+    def start_due_probes(self, now: float) -> None:
         """Let endpoints take one task each whose time out is over."""
-        for name in self._judge.probes_due(now):
+        for name in self._health_tracker.probes_due(now):
             row = self._pool.find(name)
             if row is not None:
                 row.healthy = True
-                row.on_trial = True
+                row.awaits_probe = True
 
-    def hear(
+    def update_zone_failures(
         self, now: float, row: _pool.AgentRow, told: wire.ZoneFailures
     ) -> None:
         """Take in what the ends of all entries say of an endpoint.
@@ -282,53 +288,53 @@
         :param told: what is known for callers of this zone
         """
         row.told_rate = told.rate
-        self._judge.told(row.name, told.rate, told.failures, now)
+        self._health_tracker.told(row.name, told.rate, told.failures, now)
         self._note_doubt(row)
         self._note_health(row)
 
-    def _if_done(self, job: _jobs.Job) -> Decided | None:
+    def _if_done(self, job: _jobs.Job) -> DecidedJob | None:
         if all(t.state is _jobs.TaskState.DONE for t in job.all_tasks):
-            return Decided(job, outcomes.Complete(()))
+            return DecidedJob(job, outcomes.Complete(()))
         return None
 
     def _if_hopeless(
         self, job: _jobs.Job, task: _jobs.Task, row: _pool.AgentRow
-    ) -> Decided | None:
+    ) -> DecidedJob | None:
         if job.closed or task.failures < job.request.job_class.attempts:
             return None
         return self._failed(job, row)
 
     def _if_deadly(
         self, job: _jobs.Job, task: _jobs.Task, row: _pool.AgentRow
-    ) -> Decided | None:
+    ) -> DecidedJob | None:
         if job.closed or not self._crashes.is_deadly(job.name, task.crashes):
             return None
-        self._notes.deadly(job, task)
+        self._notes.task_abandoned(job, task)
         return self._failed(job, row)
 
-    def _failed(self, job: _jobs.Job, row: _pool.AgentRow) -> Decided:
+    def _failed(self, job: _jobs.Job, row: _pool.AgentRow) -> DecidedJob:
         origin = outcomes.Origin(outcomes.Step.RUN, row.name)
         reason = outcomes.Reason.TASK_FAILED
-        return Decided(job, outcomes.FailedMayHaveRun(reason, origin))
+        return DecidedJob(job, outcomes.FailedMayHaveRun(reason, origin))
 
-    def held(
+    def reconcile(
         self,
         now: float,
         row: _pool.AgentRow,
         runs: tuple[wire.HeldRun, ...],
-    ) -> list[Decided]:
+    ) -> list[DecidedJob]:
         """Compare what an agent holds with what was ordered there.
 
         :return: the answers that this decides
         """
-        held = {(one.job, one.run) for one in runs}
+        reconcile = {(one.job, one.run) for one in runs}
         decided = []
-        for name, run in list(row.runs - held):
+        for name, run in list(row.runs - reconcile):
             end = wire.RunEnd(run, wire.HowEnded.LOST, 0.0)
             decided.append(self.ended(now, row, name, end))
-        for name, run in held - row.runs:
+        for name, run in reconcile - row.runs:
             self._send(row.name, wire.StopRuns(name, (run,)))
-        self._claim(row, held & row.runs)
+        self._claim(row, reconcile & row.runs)
         return [one for one in decided if one is not None]
 
     def _claim(
@@ -347,15 +353,15 @@
         if claimed:
             self._send(row.name, wire.ClaimRuns(tuple(claimed)))
 
-    def late(self, now: float, runs: tuple[wire.LateRun, ...]) -> None:
+    def move_late(self, now: float, runs: tuple[wire.LateRun, ...]) -> None:
         """Move runs away from a slow endpoint where that helps."""
-        for late in runs:
-            job = self._jobs.find(late.job)
-            task = job.find(late.run) if job else None
+        for move_late in runs:
+            job = self._jobs.find(move_late.job)
+            task = job.find(move_late.run) if job else None
             if job is None or task is None:
                 continue
-            if _moving.is_worth_moving(now, job, task, late, self._pool):
+            if _moving.is_worth_moving(now, job, task, move_late, self._pool):
                 task.moves += 1
-                task.avoid.add(task.agent)
-                self._notes.moved(job, task, late)
+                task.avoided_agents.add(task.agent)
+                self._notes.moved(job, task, move_late)
                 self.stop(job, [task])
--- a/src/ferryledge/leases/_runs.py
+++ b/src/ferryledge/leases/_runs.py
@@ -66,14 +66,14 @@
     #: How often a stop was ordered.
     stops_sent: int = 0
     #: Why it is stopped, if it turns out that it never started.
-    release: wire.NotStarted | None = None
+    release_reason: wire.NotStarted | None = None
     #: Whether the endpoint listed it, since it started.
     listed: bool = False
     #: Its progress; none if its expected time is unknown.
-    pace: _speed.RunPace | None = None
+    progress: _speed.RunProgress | None = None
 
     @property
-    def may_run(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether the endpoint is known to have had it."""
         return self.confirmed_at is not None
 
--- a/src/ferryledge/leases/_scheduling.py
+++ b/src/ferryledge/leases/_scheduler.py
@@ -8,16 +8,16 @@
 from ferryledge.leases import _arrivals
 from ferryledge.leases import _entry_notes
 from ferryledge.leases import _forecast
+from ferryledge.leases import _job_ranking
 from ferryledge.leases import _job_table
 from ferryledge.leases import _jobs
-from ferryledge.leases import _own_link
-from ferryledge.leases import _placing
+from ferryledge.leases import _late_jobs
+from ferryledge.leases import _placement
 from ferryledge.leases import _pool
-from ferryledge.leases import _review
-from ferryledge.leases import _run_tracking
-from ferryledge.leases import _share
-from ferryledge.leases import _turns
-from ferryledge.leases import _wanting
+from ferryledge.leases import _pool_share
+from ferryledge.leases import _run_tracker
+from ferryledge.leases import _uplink
+from ferryledge.leases import _urgency_reports
 from ferryledge import outcomes
 from ferryledge import wire
 
@@ -26,7 +26,7 @@
 Refusals = abc.Iterator[tuple[_jobs.Job, outcomes.Refused]]
 
 
-class Scheduling:
+class Scheduler:
     """Orders runs of waiting jobs, as far as pool and own link have room.
 
     :param name: this entry
@@ -36,7 +36,7 @@
     :param placing: chooses endpoints
     :param link: this entry's own
     :param rng: spreads the delays that refused clients are told
-    :param turns: the order of waiting jobs
+    :param ranking: the order of waiting jobs
     :param notes: what is decided
     """
 
@@ -45,29 +45,29 @@
         name: str,
         jobs: _job_table.JobTable,
         pool: _pool.Pool,
-        runs: _run_tracking.RunTracking,
-        placing: _placing.Placing,
-        link: _own_link.OwnLink,
+        runs: _run_tracker.RunTracker,
+        placing: _placement.Placer,
+        link: _uplink.Uplink,
         rng: random.Random,
-        turns: _turns.Turns,
+        ranking: _job_ranking.JobRanking,
         notes: _entry_notes.EntryNotes,
     ) -> None:
-        self._turns = turns
+        self._job_ranking = ranking
         self._notes = notes
         self._jobs = jobs
         self._pool = pool
         self._runs = runs
-        self._placing = placing
+        self._placement = placing
         self._link = link
-        self._share = _share.Share(link)
+        self._pool_share = _pool_share.PoolShare(link)
         self._arrivals = _arrivals.Arrivals()
-        self._wanting = _wanting.Wanting(link)
+        self._urgency_reports = _urgency_reports.UrgencyReports(link)
         #: When agents are to hear how urgent the waiting jobs are.
         self._wanted_at = _NEVER
         #: When the own link has room for waiting orders.
         self._place_at = _NEVER
         self.admission = _admission.Admission(
-            name, pool, self._share, link, rng, turns.rules
+            name, pool, self._pool_share, link, rng, ranking.rules
         )
 
     @property
@@ -78,7 +78,9 @@
     def note_arrival(self, now: float, job: _jobs.Job) -> None:
         """Take in that a job was admitted."""
         job_class = job.request.job_class
-        job.keeps_place = self.admission.returns.come(now, job.name)
+        job.is_scheduled_retry = self.admission.retry_schedule.claim(
+            now, job.name
+        )
         slack_s = job.start_by - now
         self._arrivals.note(
             now, job_class.name, job_class.service, job.work, slack_s
@@ -96,16 +98,18 @@
         if self._pool.may_recover(now):
             return None
         service = job.request.job_class.service
-        gap_s = self._share.gap_s
-        key = self._turns.key(now, job, gap_s)
+        start_interval_s = self._pool_share.start_interval_s
+        key = self._job_ranking.key(now, job, start_interval_s)
         ahead = sum(
             one.waiting_work()
             for one in self._jobs.waiting
             if one is not job
             and one.request.job_class.service == service
-            and self._turns.key(now, one, gap_s) < key
+            and self._job_ranking.key(now, one, start_interval_s) < key
+        )
+        return self._forecaster(now, service).forecast_on_time(
+            job.demand, ahead
         )
-        return self._forecaster(now, service).in_time(job.need, ahead)
 
     def review(self, now: float) -> Refusals:
         """Yield jobs that wait in vain, in the order of their turns.
@@ -114,12 +118,16 @@
 
         :param now: monotonic seconds
         """
-        untried = self._turns.sort(now, self._jobs.untried, self._share.gap_s)
+        undispatched = self._job_ranking.sort(
+            now, self._jobs.undispatched, self._pool_share.start_interval_s
+        )
         ahead = self._begun_work()
         pool_cores = self._pool.capacity_cores(now)
-        self._share.update(now, pool_cores, self._pool.sharers(now))
-        patient = [job for job in untried if self._may_be_late(job)]
-        for job in untried:
+        self._pool_share.update(
+            now, pool_cores, self._pool.sharing_entries(now)
+        )
+        patient = [job for job in undispatched if self._may_be_late(job)]
+        for job in undispatched:
             if self._may_be_late(job):
                 continue
             service = job.request.job_class.service
@@ -135,7 +143,7 @@
             )
 
     def _may_be_late(self, job: _jobs.Job) -> bool:
-        return self._turns.rules.late_answers and job.may_be_late
+        return self._job_ranking.rules.late_answers and job.may_be_late
 
     def _review_patient(
         self,
@@ -154,28 +162,32 @@
         jobs = [
             job for job in patient if job.request.job_class.service == service
         ]
-        jobs.sort(key=lambda job: self._turns.turn_at(job, self._share.gap_s))
+        jobs.sort(
+            key=lambda job: self._job_ranking.virtual_deadline(
+                job, self._pool_share.start_interval_s
+            )
+        )
         forecaster = self._forecaster(now, service)
-        forecasts = _review.review(
+        forecasts = _late_jobs.review(
             now,
             forecaster,
             [
-                _review.Waiting(number, job.need, job.keeps_place)
+                _late_jobs.Waiting(number, job.demand, job.is_scheduled_retry)
                 for number, job in enumerate(jobs)
             ],
             ahead,
-            self._turns.rules.largest_late,
+            self._job_ranking.rules.largest_late,
         )
-        in_vain: list[_jobs.Job] = []
+        too_late: list[_jobs.Job] = []
         for number, job in enumerate(jobs):
             self._take_in(now, job, forecasts[number])
-            if forecasts[number].prospect is _forecast.Prospect.IN_VAIN:
-                in_vain.append(job)
+            if forecasts[number].prospect is _forecast.Prospect.TOO_LATE:
+                too_late.append(job)
             else:
                 ahead += job.work
-        for job in in_vain:
-            refusal = self.admission.judge(
-                now, job, functools.partial(forecaster.room_in, ahead)
+        for job in too_late:
+            refusal = self.admission.refuse_if_too_late(
+                now, job, functools.partial(forecaster.queueing_delay, ahead)
             )
             if refusal is not None:
                 yield job, refusal
@@ -184,47 +196,47 @@
         self, now: float, job: _jobs.Job, told: _forecast.Forecast
     ) -> None:
         """Keep what is forecast of a job, and count it where it goes."""
-        was = job.is_put_back
+        was = job.is_deferred
         job.forecast = told
-        moved = was - job.is_put_back
+        moved = was - job.is_deferred
         if moved:
             self._arrivals.move(now, job.request.job_class.name, moved)
         if not was and told.prospect is _forecast.Prospect.LATE:
-            self._notes.put_back(now, job, told)
+            self._notes.deferred(now, job, told)
 
     def _forecaster(self, now: float, service: str) -> _forecast.Forecaster:
         """Return what tells the prospects of a service's jobs."""
         inflow = self._arrivals.inflow(now, service)
         return _forecast.Forecaster(now, self._room(now, service), inflow)
 
-    def _room(self, now: float, service: str) -> _forecast.Room:
+    def _room(self, now: float, service: str) -> _forecast.AvailableCapacity:
         """Return the room that this entry's work can count on."""
-        link_s = self._link.wait_s(now)
+        link_wait_s = self._link.wait_s(now)
         pool_cores = self._pool.capacity_cores(now, service)
         if not pool_cores:
-            return _forecast.Room(0.0, link_s=link_s)
-        sharers = self._pool.sharers(now, service)
-        cores = self._share.cores(now, pool_cores, sharers)
+            return _forecast.AvailableCapacity(0.0, link_wait_s=link_wait_s)
+        sharing_entries = self._pool.sharing_entries(now, service)
+        cores = self._pool_share.cores(now, pool_cores, sharing_entries)
         # What comes or goes is shared as the rest of the pool is.
         part = cores / pool_cores
-        change = _forecast.RoomChange
+        change = _forecast.CapacityChange
         goes = self._pool.leaving_cores(now, service)
         comes = self._pool.returning_cores(now, service)
-        return _forecast.Room(
+        return _forecast.AvailableCapacity(
             cores,
             self._pool.free_cores(now, service),
             (
                 *(change(in_s, -part * gone) for in_s, gone in goes),
                 *(change(in_s, part * back) for in_s, back in comes),
             ),
-            link_s,
+            link_wait_s,
         )
 
     def _begun_work(self) -> dict[str, float]:
         """Return the core-seconds that begun jobs wait for, by service."""
         work: dict[str, float] = {}
         for job in self._jobs.waiting:
-            if job.has_begun:
+            if job.is_dispatched:
                 service = job.request.job_class.service
                 work[service] = work.get(service, 0.0) + job.waiting_work()
         return work
@@ -243,9 +255,11 @@
             # They wait for the link, not for room: agents need no word.
             self._place_at = self._link.free_at(now)
             return
-        if self._turns.rules.urgency_reports:
-            turn_at = self._turns.first(now, left, self._share.gap_s)
-            self._wanted_at = self._wanting.due_at(turn_at)
+        if self._job_ranking.rules.urgency_reports:
+            virtual_deadline = self._job_ranking.earliest_deadline(
+                now, left, self._pool_share.start_interval_s
+            )
+            self._wanted_at = self._urgency_reports.due_at(virtual_deadline)
 
     def _order_all(self, now: float, waiting: list[_jobs.Job]) -> None:
         """Order what has room, as far as the own link carries it.
@@ -256,15 +270,15 @@
         """
         if not self._link.is_free(now):
             return
-        gap_s = self._share.gap_s
-        for placed in self._placing.place(now, waiting, gap_s):
+        start_interval_s = self._pool_share.start_interval_s
+        for placed in self._placement.place(now, waiting, start_interval_s):
             size = self._runs.order(now, placed.job, placed.row, placed.tasks)
             count = len(placed.tasks)
-            self._share.note_started(now, placed.work, count, size)
+            self._pool_share.note_started(now, placed.work, count, size)
             if not self._link.is_free(now):
                 return
 
-    def tell_wanted(
+    def due_urgency_reports(
         self, now: float
     ) -> abc.Iterator[tuple[_pool.AgentRow, wire.RoomWanted]]:
         """Yield agents to tell how urgent the waiting jobs are, and how."""
@@ -272,5 +286,9 @@
             return
         self._wanted_at = _NEVER
         waiting = self._jobs.waiting
-        turn_at = self._turns.first(now, waiting, self._share.gap_s)
-        yield from self._wanting.tell(now, turn_at, self._pool)
+        virtual_deadline = self._job_ranking.earliest_deadline(
+            now, waiting, self._pool_share.start_interval_s
+        )
+        yield from self._urgency_reports.tell(
+            now, virtual_deadline, self._pool
+        )
