--- a/src/ferryledge/leases/_spare_room.py
+++ b/src/ferryledge/leases/_spare_capacity.py
@@ -6,12 +6,12 @@
 
 import math
 
+from ferryledge.leases import _job_ranking
 from ferryledge.leases import _job_table
 from ferryledge.leases import _jobs
-from ferryledge.leases import _own_link
-from ferryledge.leases import _placing
+from ferryledge.leases import _placement
 from ferryledge.leases import _pool
-from ferryledge.leases import _turns
+from ferryledge.leases import _uplink
 
 #: Bytes that a waiting job is to take of the own link beside its spec.
 _JOB_BYTES = 400
@@ -23,26 +23,26 @@
     return sum(steps[one.step].need.cpu_millis for one in job.startable())
 
 
-class SpareRoom:
+class SpareCapacity:
     """Looks at the room of this entry.
 
     :param jobs: the jobs that are held
     :param pool: the agents
     :param link: this entry's own
-    :param turns: the order of waiting jobs
+    :param ranking: the order of waiting jobs
     """
 
     def __init__(
         self,
         jobs: _job_table.JobTable,
         pool: _pool.Pool,
-        link: _own_link.OwnLink,
-        turns: _turns.Turns,
+        link: _uplink.Uplink,
+        ranking: _job_ranking.JobRanking,
     ) -> None:
         self._jobs = jobs
         self._pool = pool
         self._link = link
-        self._turns = turns
+        self._job_ranking = ranking
 
     def cpu_millis(self, now: float, service: str) -> int:
         """Return the thousandths of a core that others' jobs could use.
@@ -59,7 +59,7 @@
         for job in self._jobs.waiting:
             if job.request.job_class.service != service:
                 continue
-            if not job.is_handed_in:
+            if not job.is_incoming:
                 return 0
             reserved += cpu_millis_of(job)
         free = sum(
@@ -71,7 +71,7 @@
 
     def has_room(self, now: float, job: _jobs.Job) -> bool:
         """Return whether all of a new job's first tasks could start now."""
-        if _placing.is_unfit(self._pool, job):
+        if _placement.is_infeasible(self._pool, job):
             return False
         service = job.request.job_class.service
         return cpu_millis_of(job) <= self.cpu_millis(now, service)
@@ -87,7 +87,7 @@
         """
         if self._link.is_busy(now) or not self._pool.is_usable(now):
             return True
-        return self._pool.sharers(now) < entries + 0.5
+        return self._pool.sharing_entries(now) < entries + 0.5
 
     def late(self, now: float, lead_s: float) -> list[_jobs.Job]:
         """Return the untried jobs that would start too late here.
@@ -101,7 +101,7 @@
         late = []
         ahead: dict[str, float] = {}
         link_s = self._link.wait_s(now)
-        for job in self._turns.sort(now, self._jobs.untried, 0.0):
+        for job in self._job_ranking.sort(now, self._jobs.undispatched, 0.0):
             service = job.request.job_class.service
             work = ahead.get(service, 0.0) + job.work
             wait_s = self._wait_s(now, job, work) + link_s
@@ -116,9 +116,9 @@
         """Return how long a job waits behind so many core-seconds."""
         service = job.request.job_class.service
         cores = self._pool.capacity_cores(now, service)
-        if not cores or _placing.is_unfit(self._pool, job):
+        if not cores or _placement.is_infeasible(self._pool, job):
             return math.inf
-        return work * self._pool.sharers(now, service) / cores
+        return work * self._pool.sharing_entries(now, service) / cores
 
     def _link_s(self, job: _jobs.Job) -> float:
         size = len(job.request.spec) + _JOB_BYTES
--- a/src/ferryledge/leases/_speed.py
+++ b/src/ferryledge/leases/_speed.py
@@ -29,10 +29,10 @@
 #: An endpoint on which everything stands still counts as this slow.
 MOST_SLOWNESS = 50.0
 #: Below this an endpoint's slowness is its usual one, or noise.
-SLOW_FROM = 2.0
+SLOW_THRESHOLD = 2.0
 
 
-class RunPace(msgspec.Struct):
+class RunProgress(msgspec.Struct):
     """The progress of one run."""
 
     job: str
@@ -93,41 +93,44 @@
         return 1.0 / max(self._speed, 1.0 / MOST_SLOWNESS)
 
     @property
-    def reported(self) -> float:
+    def reported_slowness(self) -> float:
         """The slowness as entries are told: 1 unless it is out of bounds.
 
         In steps, so that noise is not sent to every entry.
         """
         slowness = self.slowness
-        if slowness < SLOW_FROM:
+        if slowness < SLOW_THRESHOLD:
             return 1.0
-        return max(SLOW_FROM, 2.0 ** round(math.log2(slowness)))
+        return max(SLOW_THRESHOLD, 2.0 ** round(math.log2(slowness)))
 
-    def update(self, now: float, paces: abc.Iterable[RunPace]) -> None:
+    def update(self, now: float, paces: abc.Iterable[RunProgress]) -> None:
         """Take in the present progress of all runs.
 
         With none to tell, the last word stands: an endpoint that became
         slow is slow until a run shows otherwise. The runs of one job count
         as one, since the same guess of their time is behind them all.
         """
-        by_job: dict[str, list[RunPace]] = {}
-        for pace in paces:
-            if pace.samples:
-                by_job.setdefault(pace.job, []).append(pace)
+        by_job: dict[str, list[RunProgress]] = {}
+        for progress in paces:
+            if progress.samples:
+                by_job.setdefault(progress.job, []).append(progress)
         if not by_job:
             return
         weight = _ASSUMED_WEIGHT
         total = _ASSUMED_WEIGHT * self._assumed
         for job_paces in by_job.values():
-            still = all(pace.stands_still(now) for pace in job_paces)
+            still = all(progress.stands_still(now) for progress in job_paces)
             own = _STILL_WEIGHT if still else 1.0
             weight += own
             total += own * _mean_speed(job_paces)
         self._speed = total / weight
-        slow = self.slowness >= SLOW_FROM
+        slow = self.slowness >= SLOW_THRESHOLD
         self._assumed = self._speed if slow else 1.0
 
 
-def _mean_speed(paces: list[RunPace]) -> float:
-    speeds = [min(pace.rate * pace.expected_s, _FASTEST) for pace in paces]
+def _mean_speed(paces: list[RunProgress]) -> float:
+    speeds = [
+        min(progress.rate * progress.expected_s, _FASTEST)
+        for progress in paces
+    ]
     return sum(speeds) / len(speeds)
--- a/src/ferryledge/leases/_states.py
+++ b/src/ferryledge/leases/_state_reports.py
@@ -9,7 +9,7 @@
 
 #: Entries that an agent keeps up to date: few enough that they seldom want
 #: the same room, and that reports stay bounded as entries are added.
-HOMES = 4
+MAX_PRIMARY_ENTRIES = 4
 #: Seconds between reports to other entries, and while room is plentiful.
 SELDOM_S = 0.45
 PLENTY_S = 0.1
@@ -26,21 +26,21 @@
 _NOTHING = wire.Resources()
 
 
-class Turns(msgspec.Struct):
+class ReportTurns(msgspec.Struct):
     """Whose turn it is to hear first of room that became free."""
 
     free: wire.Resources = _NOTHING
     freed_at: float = 0.0
     turn: int = 0
 
-    def see(self, now: float, free: wire.Resources) -> None:
+    def note_free(self, now: float, free: wire.Resources) -> None:
         """Take in the present room."""
         if free.cpu_millis > self.free.cpu_millis:
             self.freed_at = now
             self.turn += 1
         self.free = free
 
-    def order(self, wanted_by: dict[str, float]) -> list[str]:
+    def report_order(self, wanted_by: dict[str, float]) -> list[str]:
         """Return homes in the order in which they hear of freed room.
 
         The one with the most urgent job comes first. Those that wait for
@@ -57,13 +57,13 @@
 
         return sorted(names, key=key)
 
-    def shown_at(self, place: int) -> float:
+    def announce_at(self, place: int) -> float:
         """Return when the home at that place hears of room freed last."""
         return self.freed_at + TURN_S * place
 
 
 @functools.lru_cache(maxsize=64)
-def homes_of(agent: str, entries: tuple[str, ...]) -> list[str]:
+def primary_entries_of(agent: str, entries: tuple[str, ...]) -> list[str]:
     """Return the entries that an agent keeps up to date.
 
     Entries and agents agree on them as far as they know the same entries;
@@ -73,7 +73,7 @@
     :param agent: the agent's name
     :param entries: names of the entries that are connected, sorted
     """
-    return placement.rank(agent, entries)[:HOMES]
+    return placement.rank(agent, entries)[:MAX_PRIMARY_ENTRIES]
 
 
 def _is_plenty(state: wire.EndpointState) -> bool:
@@ -81,7 +81,7 @@
     return free >= _PLENTY_SHARE * state.capacity.cpu_millis
 
 
-def but_room(state: wire.EndpointState) -> tuple[object, ...]:
+def state_without_free(state: wire.EndpointState) -> tuple[object, ...]:
     """Return what an entry hears of at once when it changes."""
     return (
         state.incarnation,
@@ -90,7 +90,7 @@
         state.accepting,
         state.remaining_s,
         state.slowness,
-        state.home,
+        state.is_primary,
         state.entries,
         state.cold,
         state.failing,
@@ -102,7 +102,7 @@
     told: wire.EndpointState | None,
     told_at: float,
     state: wire.EndpointState,
-    shown_at: float | None,
+    announce_at: float | None,
 ) -> float:
     """Return when a report is due, in monotonic seconds; never is infinite.
 
@@ -113,17 +113,17 @@
         with since; none if nothing
     :param told_at: when that was
     :param state: the endpoint's state now
-    :param shown_at: when it is the entry's turn to hear of freed room; none
+    :param announce_at: when it is the entry's turn to hear of freed room; none
         if it is no home
     """
     if state == told:
         return float("inf")
-    if told is None or but_room(told) != but_room(state):
+    if told is None or state_without_free(told) != state_without_free(state):
         return told_at
-    if shown_at is None:
+    if announce_at is None:
         return told_at + SELDOM_S
     if _is_plenty(told) and _is_plenty(state):
         return told_at + PLENTY_S
     if state.free.cpu_millis > told.free.cpu_millis:
-        return max(told_at + SCARCE_S, shown_at)
+        return max(told_at + SCARCE_S, announce_at)
     return told_at + SCARCE_S
--- a/src/ferryledge/leases/_stream_watch.py
+++ b/src/ferryledge/leases/_stream_watch.py
@@ -46,11 +46,13 @@
         #: When this process is to look next at the latest.
         self._look_at = float("inf")
 
-    def plan_look(self, at: float) -> None:
+    def note_next_tick(self, at: float) -> None:
         """Note when the process ticks next at the latest."""
         self._look_at = at
 
-    def answered(self, now: float, owner: _owners.Owner, number: int) -> None:
+    def note_answer(
+        self, now: float, owner: _owners.Owner, number: int
+    ) -> None:
         """Take in that an entry has seen the ask with that number."""
         late = now >= owner.silent_at
         if not self._owners.note_answer(now, owner, number):
@@ -58,43 +60,49 @@
         if owner.reopening:
             owner.reopening = False
             owner.false_alarms = min(_MOST_ALARMS, owner.false_alarms + 1)
-            self._act(_agent_events.KeepStream(owner.name))
+            self._act(_agent_events.CancelReopen(owner.name))
         elif not late:
             owner.false_alarms = max(0, owner.false_alarms - 1)
 
-    def look(self, now: float) -> list[_owners.Owner]:
+    def reopen_silent(self, now: float) -> list[_owners.Owner]:
         """Open new streams beside silent ones.
 
         A fault of the network seldom strikes one stream alone.
 
         :return: the entries to ask at once, since another is silent
         """
-        owing = self._owners.owing
-        if not owing:
+        awaiting_answer = self._owners.awaiting_answer
+        if not awaiting_answer:
             return []
         if now - self._look_at > _LATE_LOOK_S:
-            for owner in owing:
-                owner.owed = dict.fromkeys(owner.owed, now)
-        silent = [owner for owner in owing if now >= _due_at(owner)]
+            for owner in awaiting_answer:
+                owner.unanswered_asks = dict.fromkeys(
+                    owner.unanswered_asks, now
+                )
+        silent = [owner for owner in awaiting_answer if now >= _due_at(owner)]
         for owner in silent:
             self._reopen(now, owner)
         if not silent:
             return []
-        since = min(owner.oldest_owed_at for owner in silent)
+        since = min(owner.oldest_unanswered_at for owner in silent)
         return [
             owner
             for owner in self._owners.connected
-            if not owner.owed and owner.heard_at < since
+            if not owner.unanswered_asks and owner.heard_at < since
         ]
 
     def due_at(self) -> float:
         """Return when to look at the latest."""
-        owing = self._owners.owing
-        return min(map(_due_at, owing)) if owing else float("inf")
+        awaiting_answer = self._owners.awaiting_answer
+        return (
+            min(map(_due_at, awaiting_answer))
+            if awaiting_answer
+            else float("inf")
+        )
 
     def _reopen(self, now: float, owner: _owners.Owner) -> None:
         if not owner.reopening:
-            self._notes.suspected(now, owner)
+            self._notes.stream_suspected(now, owner)
         owner.reopening = True
         owner.reopen_at = now + _RETRY_S * 2**owner.false_alarms
         self._act(_agent_events.ReopenStream(owner.name))
--- a/src/ferryledge/leases/_timing.py
+++ b/src/ferryledge/leases/_timing.py
@@ -48,7 +48,7 @@
     #: The longest that a stop takes at the endpoint.
     stop_s: float = 0.05
     #: How long an order to the endpoint may go without an answer, at most.
-    order_s: float = 0.06
+    order_timeout_s: float = 0.06
 
     @classmethod
     def within(cls, longest_lease_s: float, stop_s: float) -> "LeaseTiming":
--- a/src/ferryledge/leases/_own_link.py
+++ b/src/ferryledge/leases/_uplink.py
@@ -19,7 +19,7 @@
 #: order is in vain once the ask that it names is older than a grant.
 _MOST_WAIT_S = 0.03
 #: Seconds over which the use of the link is averaged.
-SPAN_S = 0.5
+AVERAGING_S = 0.5
 #: Share of the link in use from which bytes are worth processor time.
 _BUSY_SHARE = 0.25
 #: Bytes of an answer to a client.
@@ -34,7 +34,7 @@
 _SMALL_BYTES = 20
 
 
-class OwnLink:
+class Uplink:
     """What waits at the link of this machine.
 
     :param bytes_per_s: what the link carries; infinite if that is unknown
@@ -76,9 +76,12 @@
 
     def is_busy(self, now: float) -> bool:
         """Return whether much of the link was in use lately."""
-        return self.sent_lately(now) > _BUSY_SHARE * self._bytes_per_s * SPAN_S
+        return (
+            self.recent_bytes(now)
+            > _BUSY_SHARE * self._bytes_per_s * AVERAGING_S
+        )
 
-    def sent_lately(self, now: float) -> float:
+    def recent_bytes(self, now: float) -> float:
         """Return the bytes that were sent in the span that is looked at."""
         self._advance(now)
         return self._lately
@@ -88,7 +91,7 @@
         if passed <= 0.0:
             return
         self._at = now
-        self._lately *= math.exp(-passed / SPAN_S)
+        self._lately *= math.exp(-passed / AVERAGING_S)
         if math.isinf(self._bytes_per_s):
             self._queued = 0.0
         else:
--- a/src/ferryledge/leases/_wanting.py
+++ b/src/ferryledge/leases/_urgency_reports.py
@@ -3,8 +3,8 @@
 from collections import abc
 import dataclasses
 
-from ferryledge.leases import _own_link
 from ferryledge.leases import _pool
+from ferryledge.leases import _uplink
 from ferryledge import wire
 
 #: Seconds between two words to the same agents; several placements of one
@@ -20,39 +20,39 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Wanting:
+class UrgencyReports:
     """What agents were told last."""
 
     #: The entry's own.
-    link: _own_link.OwnLink = dataclasses.field(
-        default_factory=_own_link.OwnLink
-    )
-    told_by: float | None = None
-    told_at: float = float("-inf")
+    link: _uplink.Uplink = dataclasses.field(default_factory=_uplink.Uplink)
+    reported_deadline: float | None = None
+    reported_at: float = float("-inf")
     #: How many agents were told then.
-    told: int = 0
+    reported_agents: int = 0
 
-    def due_at(self, turn_at: float | None) -> float:
+    def due_at(self, virtual_deadline: float | None) -> float:
         """Return when agents are to be told; never is infinite."""
-        if turn_at is None or self.told_by is None:
-            same = turn_at is self.told_by
+        if virtual_deadline is None or self.reported_deadline is None:
+            same = virtual_deadline is self.reported_deadline
         else:
-            same = abs(turn_at - self.told_by) < _GRAIN_S
+            same = abs(virtual_deadline - self.reported_deadline) < _GRAIN_S
         # Words took a fifth of a link of 2 Mbit/s that orders waited for.
-        size = self.told * _own_link.PACKET_BYTES
+        size = self.reported_agents * _uplink.PACKET_BYTES
         link_s = size / (_LINK_SHARE * self.link.bytes_per_s)
-        every_s = max(_EVERY_S, self.told / _WORDS_PER_S, link_s)
-        return float("inf") if same else self.told_at + every_s
+        every_s = max(_EVERY_S, self.reported_agents / _WORDS_PER_S, link_s)
+        return float("inf") if same else self.reported_at + every_s
 
     def tell(
-        self, now: float, turn_at: float | None, pool: _pool.Pool
+        self, now: float, virtual_deadline: float | None, pool: _pool.Pool
     ) -> abc.Iterator[tuple[_pool.AgentRow, wire.RoomWanted]]:
         """Yield each agent to tell, and what."""
-        self.told_by = turn_at
-        self.told_at = now
-        self.told = 0
-        start_by_s = None if turn_at is None else turn_at - now
+        self.reported_deadline = virtual_deadline
+        self.reported_at = now
+        self.reported_agents = 0
+        start_by_s = (
+            None if virtual_deadline is None else virtual_deadline - now
+        )
         for row in pool:
-            if row.connected and row.reconciled and row.state.home:
-                self.told += 1
+            if row.connected and row.reconciled and row.state.is_primary:
+                self.reported_agents += 1
                 yield row, wire.RoomWanted(start_by_s)
--- a/src/ferryledge/leases/tests/faults.py
+++ b/src/ferryledge/leases/tests/faults.py
@@ -154,11 +154,13 @@
     """
     exchange = leases.ConfigExchange()
     exchange.learn(2, config_of(2), 2)
-    first = exchange.answer(b"")
+    first = exchange.delta_for(b"")
     exchange.learn(3, config_of(3), 3)
-    second = exchange.answer(first.digest)
+    second = exchange.delta_for(first.digest)
     exchange.learn(4, config_of(4), 4)
-    torn = msgspec.structs.replace(exchange.answer(second.digest), pieces=())
+    torn = msgspec.structs.replace(
+        exchange.delta_for(second.digest), pieces=()
+    )
     no_base = msgspec.structs.replace(second, version=9, base=b"another")
     for entry in world.entries:
         for delta in (second, first, second, torn, first, no_base):
--- a/src/ferryledge/leases/tests/test_config_exchange.py
+++ b/src/ferryledge/leases/tests/test_config_exchange.py
@@ -60,20 +60,20 @@
     old = (1, _config(1))
     giver = _holder(old, (2, new))
     taker = _holder(old)
-    assert taker.restore(giver.answer(taker.digest)) == new
+    assert taker.restore(giver.delta_for(taker.digest)) == new
 
 
 def test_difference_costs_what_changed() -> None:
     old = (1, _config(1))
     giver = _holder(old, (2, _config(2, changed=1)))
-    assert _size(giver.answer(_holder(old).digest)) < 500
+    assert _size(giver.delta_for(_holder(old).digest)) < 500
     assert len(giver.data) > 100_000
 
 
 def test_whole_is_sent_where_no_base_is_shared() -> None:
     giver = _holder((2, _config(2)))
     taker = _holder((1, _config(1)))
-    delta = giver.answer(taker.digest)
+    delta = giver.delta_for(taker.digest)
     assert taker.restore(delta) == giver.data
     assert _size(delta) < len(giver.data) / 2
 
@@ -81,7 +81,7 @@
 def test_base_ten_versions_back_is_not_kept() -> None:
     giver = _holder(*((n, _config(n)) for n in range(1, 12)))
     taker = _holder((1, _config(1)))
-    assert giver.answer(taker.digest).base == b""
+    assert giver.delta_for(taker.digest).base == b""
 
 
 def test_order_of_bases_does_not_matter() -> None:
@@ -89,7 +89,7 @@
     first, second = (1, _config(1)), (2, _config(2, changed=1))
     giver = _holder(first, second, (3, _config(3, changed=2)))
     taker = _holder(first, second)
-    assert taker.restore(giver.answer(_holder(first).digest)) == giver.data
+    assert taker.restore(giver.delta_for(_holder(first).digest)) == giver.data
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
 )
 def test_what_does_not_fit_is_refused(field: str, value: object) -> None:
     old = (1, _config(1))
-    delta = _holder(old, (2, _config(2, 1))).answer(_holder(old).digest)
+    delta = _holder(old, (2, _config(2, 1))).delta_for(_holder(old).digest)
     wrong = msgspec.structs.replace(delta, **{field: value})
     with pytest.raises(_config_exchange.ExchangeError):
         _holder(old).restore(wrong)
@@ -157,7 +157,7 @@
     core = _entry(link=25_000_000.0)
     core.receive(0.0, wire.PeerUp(_hello("agent-1", reads_configs=True)))
     assert not _requests(core, 0.0)
-    assert not core.peers.reader
+    assert not core.peers.config_reader
 
 
 def test_another_agent_is_asked_if_one_is_lost_or_fails() -> None:
@@ -165,7 +165,7 @@
     for name in ("agent-0", "agent-1", "agent-2"):
         core.receive(0.0, wire.PeerUp(_hello(name, reads_configs=True)))
     [(first, _)] = _requests(core, 0.0)
-    core.receive(0.1, leases.ConfigNotBrought())
+    core.receive(0.1, leases.ConfigFetchFailed())
     [(second, _)] = _requests(core, 0.1)
     core.receive(0.2, wire.PeerDown(second, f"{second}.1"))
     [(third, _)] = _requests(core, 0.2)
@@ -178,9 +178,9 @@
     core.receive(0.0, leases.ConfigRead(1, _config(1), 1))
     core.tick(0.0)
     agent = _holder((1, _config(1)), (2, _config(2, 1)))
-    late = agent.answer(core.peers.digest)
+    late = agent.delta_for(core.peers.digest)
     agent.learn(3, _config(3, 2), 3)
-    newest = agent.answer(core.peers.digest)
+    newest = agent.delta_for(core.peers.digest)
     core.receive(0.1, wire.Received("agent-0", newest))
     assert _applied(core, 0.1) == [3]
     core.receive(0.2, wire.Received("agent-0", late))
@@ -193,7 +193,7 @@
     core.receive(0.0, wire.PeerUp(_hello("agent-0", reads_configs=True)))
     core.tick(0.0)
     agent = _holder((1, _config(1)), (2, _config(2, 1)))
-    delta = agent.answer(_holder((1, _config(1))).digest)
+    delta = agent.delta_for(_holder((1, _config(1))).digest)
     core.receive(0.1, wire.Received("agent-0", delta))
     assert _requests(core, 0.1) == [
         ("agent-0", wire.ConfigRequest(follow=True))
@@ -218,6 +218,6 @@
 
 
 def test_narrow_is_what_a_large_configuration_holds_up() -> None:
-    assert _config_readers.is_narrow(250_000.0)
-    assert not _config_readers.is_narrow(25.0e6 / 8.0)
-    assert not _config_readers.is_narrow(float("inf"))
+    assert _config_readers.is_narrow_link(250_000.0)
+    assert not _config_readers.is_narrow_link(25.0e6 / 8.0)
+    assert not _config_readers.is_narrow_link(float("inf"))
--- a/src/ferryledge/leases/tests/test_evidence.py
+++ b/src/ferryledge/leases/tests/test_endpoint_history.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ferryledge import leases
-from ferryledge.leases import _evidence
+from ferryledge.leases import _endpoint_history
 from ferryledge.leases import _pool
 from ferryledge.leases import _quarantine
 from ferryledge import loads as worlds
@@ -17,89 +17,108 @@
 _NORTH, _SOUTH = "north", "south"
 
 
-def _fail(evidence: _evidence.Evidence, zone: str, count: int) -> None:
+def _fail(
+    failure_rates: _endpoint_history.ZoneFailureRates, zone: str, count: int
+) -> None:
     for number in range(count):
-        evidence.note_end(1.0, zone, f"{zone}{number}", False)
+        failure_rates.note_end(1.0, zone, f"{zone}{number}", False)
 
 
-def _rate(evidence: _evidence.Evidence, zone: str, now: float = 1.1) -> float:
-    return _evidence.of_zone(evidence.told(now), zone).rate
+def _rate(
+    failure_rates: _endpoint_history.ZoneFailureRates,
+    zone: str,
+    now: float = 1.1,
+) -> float:
+    return _endpoint_history.failures_for_zone(
+        failure_rates.zone_failures(now), zone
+    ).rate
 
 
 @pytest.fixture
-def evidence() -> _evidence.Evidence:
+def failure_rates() -> _endpoint_history.ZoneFailureRates:
     """Return what an agent knows after a few good ends for each zone."""
-    made = _evidence.Evidence()
+    made = _endpoint_history.ZoneFailureRates()
     for zone in (_NORTH, _SOUTH):
         made.note_end(0.5, zone, "a", True)
     return made
 
 
 def test_failures_of_distinct_jobs_are_told(
-    evidence: _evidence.Evidence,
+    failure_rates: _endpoint_history.ZoneFailureRates,
 ) -> None:
-    _fail(evidence, _NORTH, 3)
-    assert _rate(evidence, _NORTH) >= 0.45
+    _fail(failure_rates, _NORTH, 3)
+    assert _rate(failure_rates, _NORTH) >= 0.45
 
 
-def test_one_job_that_fails_speaks_once(evidence: _evidence.Evidence) -> None:
+def test_one_job_that_fails_speaks_once(
+    failure_rates: _endpoint_history.ZoneFailureRates,
+) -> None:
     for _ in range(9):
-        evidence.note_end(1.0, _NORTH, "poison", False)
-    assert not evidence.told(1.1)
+        failure_rates.note_end(1.0, _NORTH, "poison", False)
+    assert not failure_rates.zone_failures(1.1)
 
 
 def test_failures_for_one_zone_say_nothing_of_others(
-    evidence: _evidence.Evidence,
+    failure_rates: _endpoint_history.ZoneFailureRates,
 ) -> None:
-    _fail(evidence, _NORTH, 9)
-    assert not _rate(evidence, _SOUTH)
+    _fail(failure_rates, _NORTH, 9)
+    assert not _rate(failure_rates, _SOUTH)
 
 
 def test_failures_for_all_zones_speak_for_one_that_is_unknown(
-    evidence: _evidence.Evidence,
+    failure_rates: _endpoint_history.ZoneFailureRates,
 ) -> None:
-    _fail(evidence, _NORTH, 9)
-    _fail(evidence, _SOUTH, 9)
-    assert _rate(evidence, "east") >= 0.45
+    _fail(failure_rates, _NORTH, 9)
+    _fail(failure_rates, _SOUTH, 9)
+    assert _rate(failure_rates, "east") >= 0.45
 
 
-def test_evidence_expires(evidence: _evidence.Evidence) -> None:
-    _fail(evidence, _NORTH, 9)
-    assert _rate(evidence, _NORTH)
-    assert not _rate(evidence, _NORTH, 60.0)
+def test_evidence_expires(
+    failure_rates: _endpoint_history.ZoneFailureRates,
+) -> None:
+    _fail(failure_rates, _NORTH, 9)
+    assert _rate(failure_rates, _NORTH)
+    assert not _rate(failure_rates, _NORTH, 60.0)
 
 
 def test_failures_count_on_over_a_restart(
-    evidence: _evidence.Evidence,
+    failure_rates: _endpoint_history.ZoneFailureRates,
 ) -> None:
-    _fail(evidence, _NORTH, 4)
-    before = _evidence.of_zone(evidence.told(1.1), _NORTH).failures
-    evidence.forget()
-    assert not evidence.told(1.4)
-    _fail(evidence, _NORTH, 4)
-    assert _evidence.of_zone(evidence.told(1.7), _NORTH).failures > before
+    _fail(failure_rates, _NORTH, 4)
+    before = _endpoint_history.failures_for_zone(
+        failure_rates.zone_failures(1.1), _NORTH
+    ).failures
+    failure_rates.forget()
+    assert not failure_rates.zone_failures(1.4)
+    _fail(failure_rates, _NORTH, 4)
+    assert (
+        _endpoint_history.failures_for_zone(
+            failure_rates.zone_failures(1.7), _NORTH
+        ).failures
+        > before
+    )
 
 
 def test_agent_of_an_earlier_release_tells_nothing() -> None:
     old = wire.EndpointState("i-1", "desk")
-    assert not _evidence.of_zone(old.failing, _NORTH).rate
+    assert not _endpoint_history.failures_for_zone(old.failing, _NORTH).rate
     assert old.steady == 1.0
 
 
-def _go_down(outages: _evidence.Outages, *times: float) -> None:
+def _go_down(outages: _endpoint_history.Outages, *times: float) -> None:
     for at in times:
         outages.note_down(at)
-        outages.note_back(at + 0.5)
+        outages.note_up(at + 0.5)
 
 
 def test_one_outage_costs_nothing() -> None:
-    outages = _evidence.Outages()
+    outages = _endpoint_history.Outages()
     _go_down(outages, 1.0)
     assert outages.steady(1.5) == 1.0
 
 
 def test_flapping_endpoint_gets_more_as_it_holds() -> None:
-    outages = _evidence.Outages()
+    outages = _endpoint_history.Outages()
     _go_down(outages, 1.0, 2.0, 3.0)
     shares = [outages.steady(3.5 + n * 0.25) for n in range(5)]
     assert shares == [0.0, 0.25, 0.5, 0.75, 1.0]
@@ -107,17 +126,17 @@
 
 
 def test_the_more_outages_the_longer_it_must_hold() -> None:
-    outages = _evidence.Outages()
+    outages = _endpoint_history.Outages()
     _go_down(outages, 1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0)
     assert outages.steady(8.5) < 0.5
     assert outages.steady(11.5) == 1.0
 
 
 def test_broken_connection_is_no_outage() -> None:
-    outages = _evidence.Outages()
+    outages = _endpoint_history.Outages()
     for at in (1.0, 2.0, 3.0):
         outages.note_down(at)
-        assert outages.note_back(at + 0.03) is None
+        assert outages.note_up(at + 0.03) is None
     assert outages.steady(3.03) == 1.0
 
 
@@ -138,18 +157,18 @@
 
 def test_shaky_endpoint_is_used_in_part() -> None:
     (row, *_) = rows = _rows(9, 1)
-    assert _quarantine.held_back(rows) == {"agent-0": 0.25}
-    room = _quarantine.room_of(row, 0.25, 5)
+    assert _quarantine.usable_shares(rows) == {"agent-0": 0.25}
+    room = _quarantine.usable_room(row, 0.25, 5)
     assert room.free.cpu_millis == worlds.ROOM.cpu_millis // 4
-    assert _quarantine.room_of(row, 0.0, 5).tasks == 1
+    assert _quarantine.usable_room(row, 0.0, 5).tasks == 1
 
 
 def test_no_more_than_a_third_of_the_cores_is_held_back() -> None:
     rows = _rows(9, 9)
-    assert 0 < len(_quarantine.held_back(rows)) * 0.75 <= 9 * 0.34
+    assert 0 < len(_quarantine.usable_shares(rows)) * 0.75 <= 9 * 0.34
     for row in rows[:3]:
         row.healthy = False
-    assert not _quarantine.held_back(rows)
+    assert not _quarantine.usable_shares(rows)
 
 
 _BAD = ("agent-0", "agent-1", "agent-2")
@@ -220,9 +239,11 @@
 
 
 def _any_zone(
-    told: abc.Sequence[wire.ZoneFailures], zone: str
+    zone_failures: abc.Sequence[wire.ZoneFailures], zone: str
 ) -> wire.ZoneFailures:
-    return told[0] if told else wire.ZoneFailures(zone, 0.0, 0)
+    return (
+        zone_failures[0] if zone_failures else wire.ZoneFailures(zone, 0.0, 0)
+    )
 
 
 @pytest.mark.parametrize("apart", [True, False])
@@ -230,11 +251,11 @@
     apart: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not apart:
-        monkeypatch.setattr(_evidence, "of_zone", _any_zone)
+        monkeypatch.setattr(_endpoint_history, "failures_for_zone", _any_zone)
     world = worlds.World(3, 8, 10, entry_zones=(_NORTH, _SOUTH))
     world.run(3.0)
     _fail_south(world)
-    doubted = {_NORTH: 0, _SOUTH: 0}
+    is_suspect = {_NORTH: 0, _SOUTH: 0}
     for number in range(150):
         entry = world.entries[number % 8]
         name = f"{number:016x}"
@@ -243,9 +264,9 @@
         for entry in world.entries:
             rows = world.nodes[entry].core.pool
             zone = world.entry_zone_of[entry]
-            doubted[zone] += sum(row.doubted for row in rows)
-    assert doubted[_SOUTH]
-    assert (not doubted[_NORTH]) is apart
+            is_suspect[zone] += sum(row.is_suspect for row in rows)
+    assert is_suspect[_SOUTH]
+    assert (not is_suspect[_NORTH]) is apart
 
 
 @pytest.mark.parametrize("bounded", [True, False])
@@ -283,11 +304,11 @@
         assert number < 50
     world.failing.clear()
     row = world.nodes["entry-0"].core.pool.find("agent-0")
-    while not row.on_trial:
+    while not row.awaits_probe:
         world.run(0.05)
     token = world.submit("entry-0", "a" * 16, 24, 0.5, job_class=_QUICK)
     world.run(0.2)
-    assert not row.on_trial and not row.healthy
+    assert not row.awaits_probe and not row.healthy
     world.post("entry-0", leases.ClientLeft(token, "a" * 16))
     world.run(1.0)
     for again in range(4):
--- a/src/ferryledge/leases/tests/test_endpoint_lives.py
+++ b/src/ferryledge/leases/tests/test_endpoint_lives.py
@@ -25,7 +25,9 @@
     world.post(_AGENT, _first_report(world, number))
 
 
-def _first_report(world: worlds.World, number: int) -> leases.EndpointSeen:
+def _first_report(
+    world: worlds.World, number: int
+) -> leases.EndpointHeartbeat:
     """Return a heartbeat of the endpoint's first incarnation."""
     seen = world.report_of(_AGENT, number)
     return msgspec.structs.replace(seen, endpoint_id=_OLD, born_ms=1)
--- a/src/ferryledge/leases/tests/test_dealing.py
+++ b/src/ferryledge/leases/tests/test_entry_selection.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ferryledge.leases import _agent_events
-from ferryledge.leases import _dealing
+from ferryledge.leases import _entry_selection
 from ferryledge import wire
 
 _ENTRIES = tuple(
@@ -18,7 +18,7 @@
     """An agent's streams; those that it dials open at once."""
 
     def __init__(self, name: str = "agent-0") -> None:
-        self.dealing = _dealing.Dealing(name)
+        self.dealing = _entry_selection.Dealing(name)
         self.now = 0.0
         self.streams: set[str] = set()
         self.dialled: set[str] = set()
@@ -40,7 +40,7 @@
                     self.dialled |= {one.name for one in entries}
                 case _agent_events.SendMessage(peer, wire.Leaving()):
                     self.told.append(peer)
-                case _agent_events.LeaveEntry(name):
+                case _agent_events.DisconnectEntry(name):
                     self.dialled.discard(name)
                     self.close(name)
 
@@ -63,7 +63,7 @@
 
 
 def test_few_entries_get_a_stream(agent: _Agent) -> None:
-    assert len(agent.streams) == _dealing.STREAMS
+    assert len(agent.streams) == _entry_selection.STREAMS
 
 
 def test_all_entries_get_one_where_they_are_few() -> None:
@@ -84,7 +84,7 @@
         agent.dealing.learn(0.0, _ENTRIES)
         agent.run(0.3)
         parts.update(agent.streams)
-    mean = 240 * _dealing.STREAMS / len(_ENTRIES)
+    mean = 240 * _entry_selection.STREAMS / len(_ENTRIES)
     assert all(0.7 * mean < part < 1.3 * mean for part in parts.values())
 
 
@@ -98,7 +98,7 @@
     agent.run(1.0)
     assert agent.streams == before - {lost}
     agent.run(2.0)
-    assert len(agent.streams) == _dealing.STREAMS
+    assert len(agent.streams) == _entry_selection.STREAMS
     agent.down.clear()
     agent.run(_LONG_S)
     assert agent.streams == before
@@ -110,12 +110,12 @@
         better = wire.EntryAddress(f"{better.name}x", "10.0.1.0", 7000)
         agent.dealing.learn(agent.now, (better,))
         agent.run(0.5)
-    assert len(agent.streams) == _dealing.STREAMS + 1
+    assert len(agent.streams) == _entry_selection.STREAMS + 1
     while not agent.told:
         agent.run(0.1)
-    assert len(agent.streams) == _dealing.STREAMS + 1
+    assert len(agent.streams) == _entry_selection.STREAMS + 1
     agent.run(1.0)
-    assert len(agent.streams) == _dealing.STREAMS
+    assert len(agent.streams) == _entry_selection.STREAMS
 
 
 def test_entry_that_was_told_and_is_chosen_again_gets_a_new_stream(
@@ -170,7 +170,7 @@
         agent.dealing.note_order(agent.now, guest.name)
     assert guest.name in agent.streams
     agent.run(_LONG_S)
-    assert len(agent.streams) == _dealing.STREAMS
+    assert len(agent.streams) == _entry_selection.STREAMS
 
 
 def test_agent_that_lost_all_dials_a_few_others_at_once_and_later_all(
@@ -180,7 +180,7 @@
     for name in list(agent.streams):
         agent.close(name)
     agent.run(1.0)
-    assert len(agent.dialled) == 2 * _dealing.STREAMS
+    assert len(agent.dialled) == 2 * _entry_selection.STREAMS
     agent.run(4.0)
     assert len(agent.dialled) == len(_ENTRIES)
 
--- a/src/ferryledge/leases/tests/test_handover.py
+++ b/src/ferryledge/leases/tests/test_handover.py
@@ -33,7 +33,7 @@
 def _client_left(world: worlds.World) -> bool:
     return any(
         note.message == "client left"
-        for note in world.nodes[handovers.GIVER].core.take_notes()
+        for note in world.nodes[handovers.GIVER].core.pop_notes()
     )
 
 
--- a/src/ferryledge/leases/tests/test_handover_mutations.py
+++ b/src/ferryledge/leases/tests/test_handover_mutations.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from ferryledge.leases import _handed_in
-from ferryledge.leases import _handing_on
+from ferryledge.leases import _incoming_handovers
 from ferryledge.leases import _jobs
-from ferryledge.leases import _run_tracking
+from ferryledge.leases import _outgoing_handovers
+from ferryledge.leases import _run_tracker
 from ferryledge.leases.tests import handovers
 from ferryledge.leases.tests import test_mutations
 from ferryledge import loads as worlds
@@ -77,19 +77,21 @@
 
 def _startable_wherever_it_is(job: _jobs.Job) -> list[_jobs.Task]:
     """Take a job that is away for one that waits here."""
-    job.is_away, away = False, job.is_away
+    job.is_delegated, away = False, job.is_delegated
     try:
         return _STARTABLE(job)
     finally:
-        job.is_away = away
+        job.is_delegated = away
 
 
 _STARTABLE = _jobs.Job.startable
-_JOIN = _handed_in.HandedIn.join
+_JOIN = _incoming_handovers.IncomingHandovers.join
 
 
 def _join_without_results(
-    handed_in: _handed_in.HandedIn, now: float, hello: wire.Hello
+    handed_in: _incoming_handovers.IncomingHandovers,
+    now: float,
+    hello: wire.Hello,
 ) -> None:
     """Forget results that the giver has not confirmed."""
     for giver in handed_in._givers.values():
@@ -99,14 +101,14 @@
 
 MUTATIONS = {
     "the giver runs it again at once": test_mutations.Mutation(
-        _handing_on.HandingOn,
+        _outgoing_handovers.OutgoingHandovers,
         "_is_over",
         lambda _, now, offer: offer.is_given_up,
         _all_cut_off,
     ),
     "grants last as long as for own runs": test_mutations.Mutation(
-        _run_tracking.RunTracking,
-        "less_ms",
+        _run_tracker.RunTracker,
+        "shorten_by_ms",
         lambda *_: 0,
         _all_lost_in_turn,
     ),
@@ -117,13 +119,13 @@
         _undisturbed,
     ),
     "results are told once": test_mutations.Mutation(
-        _handed_in.HandedIn,
+        _incoming_handovers.IncomingHandovers,
         "join",
         _join_without_results,
         _reset_at_the_result,
     ),
     "the taker runs on while the giver is silent": test_mutations.Mutation(
-        _handed_in.HandedIn,
+        _incoming_handovers.IncomingHandovers,
         "check",
         lambda *_: None,
         _giver_lost_beside_an_own_job,
--- a/src/ferryledge/leases/tests/test_order.py
+++ b/src/ferryledge/leases/tests/test_job_ranking.py
@@ -5,14 +5,14 @@
 import pytest
 
 from ferryledge import leases
+from ferryledge.leases import _job_ranking
 from ferryledge.leases import _jobs
-from ferryledge.leases import _share
-from ferryledge.leases import _turns
-from ferryledge.leases import _wanting
+from ferryledge.leases import _pool_share
+from ferryledge.leases import _urgency_reports
 from ferryledge import placement
 from ferryledge import wire
 
-TURNS = _turns.Turns()
+TURNS = _job_ranking.JobRanking()
 _CLASS = leases.JobClass("quick", "desk", stretch=1.6, target_s=0.06)
 
 
@@ -44,19 +44,26 @@
 
 def test_begun_job_stays_pressing_for_agents() -> None:
     begun, waiting = _job(0.0), _job(0.0)
-    begun.offered_at = 10.1
+    begun.dispatched_at = 10.1
     late = begun.start_by + 1.0
-    turn_at = begun.start_by - _turns.BEGUN_LEAD_S
-    assert TURNS.first(late, [begun, waiting], 0.0) == turn_at
+    virtual_deadline = begun.start_by - _job_ranking.DISPATCHED_LEAD_S
+    assert (
+        TURNS.earliest_deadline(late, [begun, waiting], 0.0)
+        == virtual_deadline
+    )
 
 
 def test_begun_job_goes_before_one_that_is_about_as_pressing() -> None:
     begun, waiting = _job(0.0), _job(0.0)
-    begun.offered_at = 10.1
+    begun.dispatched_at = 10.1
     begun.arrived_at = waiting.arrived_at + 0.4
-    assert TURNS.turn_at(begun, 0.0) < TURNS.turn_at(waiting, 0.0)
+    assert TURNS.virtual_deadline(begun, 0.0) < TURNS.virtual_deadline(
+        waiting, 0.0
+    )
     begun.arrived_at = waiting.arrived_at + 0.6
-    assert TURNS.turn_at(begun, 0.0) > TURNS.turn_at(waiting, 0.0)
+    assert TURNS.virtual_deadline(begun, 0.0) > TURNS.virtual_deadline(
+        waiting, 0.0
+    )
 
 
 def test_urgent_queue_goes_before_one_that_is_about_as_pressing() -> None:
@@ -65,36 +72,44 @@
     lower = dataclasses.replace(job_class, priority=job_class.priority + 1)
     other.request = dataclasses.replace(other.request, job_class=lower)
     urgent.arrived_at = other.arrived_at + 0.15
-    assert TURNS.turn_at(urgent, 0.0) < TURNS.turn_at(other, 0.0)
+    assert TURNS.virtual_deadline(urgent, 0.0) < TURNS.virtual_deadline(
+        other, 0.0
+    )
     urgent.arrived_at = other.arrived_at + 0.25
-    assert TURNS.turn_at(urgent, 0.0) > TURNS.turn_at(other, 0.0)
+    assert TURNS.virtual_deadline(urgent, 0.0) > TURNS.virtual_deadline(
+        other, 0.0
+    )
 
 
 def test_late_job_yields_to_all_that_are_not() -> None:
     late, timely = _job(0.0), _job(0.0)
     timely.arrived_at = 11.0
-    assert TURNS.first(11.0, [late, timely], 0.0) == timely.start_by
-    assert TURNS.first(11.0, [late], 0.0) == pytest.approx(41.0)
+    assert (
+        TURNS.earliest_deadline(11.0, [late, timely], 0.0) == timely.start_by
+    )
+    assert TURNS.earliest_deadline(11.0, [late], 0.0) == pytest.approx(41.0)
 
 
 def test_wide_job_begins_sooner_than_one_task_of_its_size() -> None:
     job = _job(0.0)
-    assert TURNS.begin_by(job, 0.02) == pytest.approx(job.start_by - 0.04)
+    assert TURNS.next_start_by(job, 0.02) == pytest.approx(job.start_by - 0.04)
     job.set_state(job.all_tasks[0], _jobs.TaskState.BOUND)
-    assert TURNS.begin_by(job, 0.02) == pytest.approx(job.start_by - 0.02)
+    assert TURNS.next_start_by(job, 0.02) == pytest.approx(job.start_by - 0.02)
 
 
 def test_gap_between_starts_follows_share_and_size() -> None:
-    share = _share.Share()
+    share = _pool_share.PoolShare()
     for tick in range(400):
         share.note_started(tick / 100, 0.5, 2)
     share.update(4.0, 80.0, 4)
-    assert share.gap_s == pytest.approx(0.25 / 50.0, rel=0.02)
+    assert share.start_interval_s == pytest.approx(0.25 / 50.0, rel=0.02)
 
 
 def test_entry_of_many_homes_repeats_itself_less_often() -> None:
-    wanting = _wanting.Wanting(told_by=1.0, told_at=5.0, told=50)
+    wanting = _urgency_reports.UrgencyReports(
+        reported_deadline=1.0, reported_at=5.0, reported_agents=50
+    )
     assert wanting.due_at(2.0) == pytest.approx(5.05)
-    wanting.told = 2
+    wanting.reported_agents = 2
     assert wanting.due_at(2.0) == pytest.approx(5.006)
     assert wanting.due_at(1.001) == float("inf")
--- a/src/ferryledge/leases/tests/test_late_answers.py
+++ b/src/ferryledge/leases/tests/test_late_answers.py
@@ -125,10 +125,10 @@
     request = leases.LeasedJob("b" * 16, _PATIENT, "spec", (step,), 6.0)
     tasks = _jobs.make_tasks(request)
     job = _jobs.Job(request, [1], world.now, 0.2, tasks)
-    told = core._scheduling.forecast(world.now, job)
+    told = core._scheduler.forecast(world.now, job)
     assert told.prospect is _forecast.Prospect.IN_TIME
     world.submit("entry-0", "c" * 16, 80, 2.0, deadline_s=60.0)
     world.run(0.2)
     job.arrived_at = world.now
-    told = core._scheduling.forecast(world.now, job)
+    told = core._scheduler.forecast(world.now, job)
     assert told.prospect is not _forecast.Prospect.IN_TIME
--- a/src/ferryledge/leases/tests/test_review.py
+++ b/src/ferryledge/leases/tests/test_late_jobs.py
@@ -2,28 +2,31 @@
 
 from ferryledge.leases import _arrivals
 from ferryledge.leases import _forecast
-from ferryledge.leases import _review
+from ferryledge.leases import _late_jobs
 
 _NOW = 100.0
 _IN_TIME = _forecast.Prospect.IN_TIME
 _LATE = _forecast.Prospect.LATE
-_IN_VAIN = _forecast.Prospect.IN_VAIN
+_TOO_LATE = _forecast.Prospect.TOO_LATE
 
 
 def _review_all(
-    *needs: _forecast.Need, ahead: float = 0.0
+    *needs: _forecast.Demand, ahead: float = 0.0
 ) -> list[_forecast.Prospect]:
-    room = _forecast.Room(10.0)
+    room = _forecast.AvailableCapacity(10.0)
     forecaster = _forecast.Forecaster(_NOW, room, _arrivals.Inflow())
-    jobs = [_review.Waiting(number, need) for number, need in enumerate(needs)]
-    told = _review.review(_NOW, forecaster, jobs, ahead)
+    jobs = [
+        _late_jobs.Waiting(number, demand)
+        for number, demand in enumerate(needs)
+    ]
+    told = _late_jobs.review(_NOW, forecaster, jobs, ahead)
     return [told[number].prospect for number in range(len(needs))]
 
 
 def _need(
     work: float, slack_s: float, useful_s: float = 9.0
-) -> _forecast.Need:
-    return _forecast.Need(work, 0.5, _NOW + slack_s, _NOW + useful_s)
+) -> _forecast.Demand:
+    return _forecast.Demand(work, 0.5, _NOW + slack_s, _NOW + useful_s)
 
 
 def test_all_are_in_time_where_room_is_enough() -> None:
@@ -52,7 +55,7 @@
 def test_late_ones_are_in_vain_behind_those_that_are_useless_sooner() -> None:
     sooner = _need(4.0, -0.1, useful_s=1.0)
     later = _need(4.0, -0.1, useful_s=1.2)
-    assert _review_all(later, sooner) == [_IN_VAIN, _LATE]
+    assert _review_all(later, sooner) == [_TOO_LATE, _LATE]
 
 
 def test_work_that_has_begun_goes_first() -> None:
--- a/src/ferryledge/leases/tests/test_leases.py
+++ b/src/ferryledge/leases/tests/test_leases.py
@@ -337,7 +337,7 @@
 def test_refusal_of_a_stopping_entry_is_noted(world: worlds.World) -> None:
     world.post("entry-0", leases.EntryDrain(world.now + 0.1))
     world.submit("entry-0", "5" * 16, work_s=0.9)
-    notes = world.nodes["entry-0"].core.take_notes()
+    notes = world.nodes["entry-0"].core.pop_notes()
     assert any(note.job == "5" * 16 and note.urgent for note in notes)
 
 
--- a/src/ferryledge/leases/tests/test_mutations.py
+++ b/src/ferryledge/leases/tests/test_mutations.py
@@ -17,7 +17,7 @@
 from ferryledge.leases import _crashes
 from ferryledge.leases import _endpoint
 from ferryledge.leases import _endpoint_watch
-from ferryledge.leases import _lives
+from ferryledge.leases import _incarnations
 from ferryledge.leases import _owners
 from ferryledge.leases import _stream_watch
 from ferryledge.leases import _timing
@@ -216,7 +216,7 @@
 
 
 def _believe(
-    link: _endpoint.EndpointLink, seen: leases.EndpointSeen, now: float
+    link: _endpoint.EndpointLink, seen: leases.EndpointHeartbeat, now: float
 ) -> _endpoint.Change:
     """Take any other incarnation for a successor."""
     if link.incarnation == seen.incarnation:
@@ -264,7 +264,7 @@
 
 MUTATIONS = {
     "any number of endpoints is ejected": Mutation(
-        health.HealthJudge,
+        health.HealthTracker,
         "_may_eject",
         _always,
         _many_fail,
@@ -324,7 +324,7 @@
         _late_heartbeat_during_a_run,
     ),
     "starts are told apart by the id alone": Mutation(
-        _lives,
+        _incarnations,
         "incarnation_of",
         lambda endpoint_id, _: endpoint_id,
         _restarted_then_draining,
@@ -361,7 +361,7 @@
     ),
     "silent streams are not replaced in time": Mutation(
         _stream_watch.StreamWatch,
-        "look",
+        "reopen_silent",
         lambda *_: [],
         _silent_streams_during_a_run,
     ),
--- a/src/ferryledge/leases/tests/test_returns.py
+++ b/src/ferryledge/leases/tests/test_retry_schedule.py
@@ -9,9 +9,9 @@
 
 import ferryledge
 from ferryledge import leases
+from ferryledge.leases import _job_ranking
 from ferryledge.leases import _jobs
-from ferryledge.leases import _returns
-from ferryledge.leases import _turns
+from ferryledge.leases import _retry_schedule
 from ferryledge import loads
 from ferryledge import wire
 
@@ -20,8 +20,8 @@
 
 
 @pytest.fixture
-def returns() -> _returns.Returns:
-    return _returns.Returns(random.Random(1))
+def retry_schedule() -> _retry_schedule.RetrySchedule:
+    return _retry_schedule.RetrySchedule(random.Random(1))
 
 
 def _room_in(work: float) -> float:
@@ -34,51 +34,55 @@
 
 
 def test_callers_return_one_after_another_as_room_allows(
-    returns: _returns.Returns,
+    retry_schedule: _retry_schedule.RetrySchedule,
 ) -> None:
     told = [
-        returns.promise(_NOW, name, 5.0, _room_in) for name in ("a", "b", "c")
+        retry_schedule.schedule(_NOW, name, 5.0, _room_in)
+        for name in ("a", "b", "c")
     ]
     assert told == [1.5, 2.0, 2.5]
 
 
 def test_room_of_those_that_are_due_is_free_again(
-    returns: _returns.Returns,
+    retry_schedule: _retry_schedule.RetrySchedule,
 ) -> None:
-    returns.promise(_NOW, "a", 5.0, _room_in)
-    assert returns.promise(_NOW + 2.0, "b", 5.0, _room_in) == 1.5
+    retry_schedule.schedule(_NOW, "a", 5.0, _room_in)
+    assert retry_schedule.schedule(_NOW + 2.0, "b", 5.0, _room_in) == 1.5
 
 
 def test_nobody_is_told_later_than_the_longest(
-    returns: _returns.Returns,
+    retry_schedule: _retry_schedule.RetrySchedule,
 ) -> None:
     told = [
-        returns.promise(_NOW, f"{number}", 5.0, _never) for number in range(50)
+        retry_schedule.schedule(_NOW, f"{number}", 5.0, _never)
+        for number in range(50)
     ]
     assert all(2.5 <= one <= 5.0 for one in told)
     assert len(set(told)) > 40
 
 
-def test_early_return_gains_nothing(returns: _returns.Returns) -> None:
-    delay_s = returns.promise(_NOW, "a", 15.0, _room_in)
-    assert not returns.come(_NOW + 1.0, "a")
-    again_s = returns.promise(_NOW + 1.0, "a", 15.0, _room_in)
+def test_early_return_gains_nothing(
+    retry_schedule: _retry_schedule.RetrySchedule,
+) -> None:
+    delay_s = retry_schedule.schedule(_NOW, "a", 15.0, _room_in)
+    assert not retry_schedule.claim(_NOW + 1.0, "a")
+    again_s = retry_schedule.schedule(_NOW + 1.0, "a", 15.0, _room_in)
     assert again_s == pytest.approx(delay_s - 1.0)
 
 
 def test_return_at_its_time_keeps_its_place_once(
-    returns: _returns.Returns,
+    retry_schedule: _retry_schedule.RetrySchedule,
 ) -> None:
-    delay_s = returns.promise(_NOW, "a", 5.0, _room_in)
-    assert returns.come(_NOW + delay_s, "a")
-    assert not returns.come(_NOW + delay_s, "a")
+    delay_s = retry_schedule.schedule(_NOW, "a", 5.0, _room_in)
+    assert retry_schedule.claim(_NOW + delay_s, "a")
+    assert not retry_schedule.claim(_NOW + delay_s, "a")
 
 
 def test_return_long_after_its_time_is_a_new_one(
-    returns: _returns.Returns,
+    retry_schedule: _retry_schedule.RetrySchedule,
 ) -> None:
-    returns.promise(_NOW, "a", 5.0, _room_in)
-    assert not returns.come(_NOW + 20.0, "a")
+    retry_schedule.schedule(_NOW, "a", 5.0, _room_in)
+    assert not retry_schedule.claim(_NOW + 20.0, "a")
 
 
 def test_place_goes_ahead_of_new_jobs_that_are_about_as_pressing() -> None:
@@ -89,10 +93,12 @@
         return _jobs.Job(request, [1], arrived_at, 1.0, tasks)
 
     back, new = make(10.1), make(10.0)
-    turn_at = functools.partial(_turns.Turns().turn_at, gap_s=0.0)
-    assert turn_at(back) > turn_at(new)
-    back.keeps_place = True
-    assert turn_at(back) < turn_at(new)
+    virtual_deadline = functools.partial(
+        _job_ranking.JobRanking().virtual_deadline, start_interval_s=0.0
+    )
+    assert virtual_deadline(back) > virtual_deadline(new)
+    back.is_scheduled_retry = True
+    assert virtual_deadline(back) < virtual_deadline(new)
 
 
 def test_callers_that_are_told_when_are_served_in_the_end() -> None:
--- a/src/ferryledge/leases/tests/test_slow_streams.py
+++ b/src/ferryledge/leases/tests/test_slow_streams.py
@@ -55,15 +55,15 @@
 
     def _step(self, answer_s: float) -> None:
         self._now += _STEP_S
-        self.watch.plan_look(self._now)
+        self.watch.note_next_tick(self._now)
         if self._now >= self._ask_at:
             self._ask_at = self._now + _ASK_S
             ask = self.owners.ask(self.owner, self._now, True, False)
             self._coming.append((self._now + answer_s, ask.number))
         while self._coming and self._coming[0][0] <= self._now:
             _, number = self._coming.popleft()
-            self.watch.answered(self._now, self.owner, number)
-        self.watch.look(self._now)
+            self.watch.note_answer(self._now, self.owner, number)
+        self.watch.reopen_silent(self._now)
 
 
 @pytest.fixture
--- a/src/ferryledge/leases/tests/test_own_link.py
+++ b/src/ferryledge/leases/tests/test_uplink.py
@@ -5,24 +5,24 @@
 import pytest
 
 from ferryledge import leases
-from ferryledge.leases import _own_link
-from ferryledge.leases import _share
+from ferryledge.leases import _pool_share
+from ferryledge.leases import _uplink
 from ferryledge.leases.tests import loads
 from ferryledge import loads as worlds
 from ferryledge import wire
 
-_SIZE = 10_000 - _own_link.PACKET_BYTES
+_SIZE = 10_000 - _uplink.PACKET_BYTES
 #: What a process counts on of a link that carries 125,000 bytes a second.
 _USABLE = 100_000.0
 
 
 @pytest.fixture
-def link() -> _own_link.OwnLink:
-    return _own_link.OwnLink(125_000.0)
+def link() -> _uplink.Uplink:
+    return _uplink.Uplink(125_000.0)
 
 
 def test_what_was_sent_leaves_at_the_rate_of_the_link(
-    link: _own_link.OwnLink,
+    link: _uplink.Uplink,
 ) -> None:
     for _ in range(2):
         link.note_sent(1.0, _SIZE)
@@ -34,14 +34,14 @@
 
 
 def test_unknown_link_is_always_free() -> None:
-    link = _own_link.OwnLink()
+    link = _uplink.Uplink()
     link.note_sent(1.0, 10**9)
     assert link.is_free(1.0)
     assert not link.is_busy(1.0)
 
 
 def test_link_is_busy_while_much_of_it_is_in_use(
-    link: _own_link.OwnLink,
+    link: _uplink.Uplink,
 ) -> None:
     for tick in range(10):
         link.note_sent(tick / 10, 4_000)
@@ -50,11 +50,11 @@
 
 
 def test_share_of_the_pool_is_bounded_by_the_link(
-    link: _own_link.OwnLink,
+    link: _uplink.Uplink,
 ) -> None:
-    share = _share.Share(link)
+    share = _pool_share.PoolShare(link)
     for tick in range(100):
-        link.note_sent(tick / 100, 2_000 - _own_link.PACKET_BYTES)
+        link.note_sent(tick / 100, 2_000 - _uplink.PACKET_BYTES)
         share.note_started(tick / 100, 0.5, 1, 2_000)
     # An order of 2,000 bytes keeps half a core-second of work going.
     cores = _USABLE / 2_000 * 0.5
@@ -63,8 +63,8 @@
 
 def test_idle_entry_is_not_bounded_by_a_wide_link() -> None:
     """Grants and reports go on while nothing is ordered for ten seconds."""
-    link = _own_link.OwnLink(125_000_000.0)
-    share = _share.Share(link)
+    link = _uplink.Uplink(125_000_000.0)
+    share = _pool_share.PoolShare(link)
     for tick in range(100):
         share.note_started(tick / 100, 0.5, 1, 2_000)
     for tick in range(1100):
--- a/src/ferryledge/ledger/__init__.py
+++ b/src/ferryledge/ledger/__init__.py
@@ -13,9 +13,9 @@
 TaskRecord = _starts.TaskRecord
 TicketLedger = _tickets.TicketLedger
 TicketVerdict = _tickets.TicketVerdict
-TicketWord = _tickets.TicketWord
-front_of = _starts.front_of
-number_of = _starts.number_of
+TicketStatus = _tickets.TicketStatus
+submission_front = _starts.submission_front
+submission_number = _starts.submission_number
 minter_of = _tickets.minter_of
 
 __all__ = [
@@ -28,8 +28,8 @@
     "TaskRecord",
     "TicketLedger",
     "TicketVerdict",
-    "TicketWord",
-    "front_of",
+    "TicketStatus",
+    "submission_front",
     "minter_of",
-    "number_of",
+    "submission_number",
 ]
--- a/src/ferryledge/ledger/_starts.py
+++ b/src/ferryledge/ledger/_starts.py
@@ -58,12 +58,12 @@
     finish: Finish | None = None
 
 
-def front_of(submission: str) -> str:
+def submission_front(submission: str) -> str:
     """Return the incarnation of the front that named the submission."""
     return submission.partition(SUBMISSION_SEPARATOR)[0]
 
 
-def number_of(submission: str) -> int:
+def submission_number(submission: str) -> int:
     """Return the front's number for the submission; -1 if it has none."""
     number = submission.partition(SUBMISSION_SEPARATOR)[2]
     return int(number) if number.isascii() and number.isdigit() else -1
@@ -136,7 +136,7 @@
         self._finished[key] = record
         return record
 
-    def take_back(self, key: TaskKey) -> TaskRecord | None:
+    def undo_start(self, key: TaskKey) -> TaskRecord | None:
         """Undo a start that provably never reached the endpoint.
 
         The number stays used, so the task never starts from it.
@@ -159,13 +159,14 @@
             record
             for table in (self._running, self._finished)
             for key, record in table.items()
-            if key.owner == owner and front_of(record.submission) == front
+            if key.owner == owner
+            and submission_front(record.submission) == front
         ]
 
     def is_fenced(self, owner: str, submission: str) -> bool:
         """Return whether the owner may no longer start this job's tasks."""
-        through = self._fenced.get((owner, front_of(submission)), -1)
-        return number_of(submission) <= through
+        through = self._fenced.get((owner, submission_front(submission)), -1)
+        return submission_number(submission) <= through
 
     def expire(self, now: float) -> None:
         """Drop results that are past their retention, oldest first."""
--- a/src/ferryledge/ledger/_tickets.py
+++ b/src/ferryledge/ledger/_tickets.py
@@ -17,7 +17,7 @@
 OutcomeT = typing.TypeVar("OutcomeT")
 
 
-class TicketWord(enum.Enum):
+class TicketStatus(enum.Enum):
     """The ledger's word on a ticket."""
 
     #: First use: the submission may run.
@@ -36,7 +36,7 @@
 class TicketVerdict(typing.Generic[OutcomeT]):
     """The ledger's answer to a request for authorisation."""
 
-    word: TicketWord
+    status: TicketStatus
     #: The first submission's outcome, if settled.
     outcome: OutcomeT | None = None
 
@@ -110,18 +110,18 @@
         """
         serial = self._serial(ticket)
         if serial is None:
-            return TicketVerdict(TicketWord.LOST)
+            return TicketVerdict(TicketStatus.LOST)
         use = self._uses.get(serial)
         if use is None:
             self._uses[serial] = _Use(submission, digest, owner)
-            return TicketVerdict(TicketWord.GRANTED)
+            return TicketVerdict(TicketStatus.GRANTED)
         if use.digest != digest:
-            return TicketVerdict(TicketWord.MISMATCH)
+            return TicketVerdict(TicketStatus.MISMATCH)
         if use.outcome is not None:
-            return TicketVerdict(TicketWord.SETTLED, use.outcome)
+            return TicketVerdict(TicketStatus.SETTLED, use.outcome)
         if use.submission == submission and use.owner == owner:
-            return TicketVerdict(TicketWord.GRANTED)
-        return TicketVerdict(TicketWord.IN_PROGRESS)
+            return TicketVerdict(TicketStatus.GRANTED)
+        return TicketVerdict(TicketStatus.IN_PROGRESS)
 
     def settle(self, ticket: str, submission: str, outcome: OutcomeT) -> bool:
         """Keep the outcome of the submission that was authorised.
--- a/src/ferryledge/ledger/tests/test_starts.py
+++ b/src/ferryledge/ledger/tests/test_starts.py
@@ -68,6 +68,6 @@
 
 def test_a_start_that_was_taken_back_never_starts(starts):
     starts.admit(KEY, "f.1", 0)
-    assert starts.take_back(KEY) is not None
+    assert starts.undo_start(KEY) is not None
     assert starts.running == 0
     assert starts.admit(KEY, "f.1", 0) is ledger.Admission.REFUSED
--- a/src/ferryledge/ledger/tests/test_tickets.py
+++ b/src/ferryledge/ledger/tests/test_tickets.py
@@ -4,7 +4,7 @@
 
 from ferryledge import ledger
 
-WORD = ledger.TicketWord
+WORD = ledger.TicketStatus
 
 
 @pytest.fixture
@@ -13,7 +13,7 @@
 
 
 def authorise(tickets, ticket, submission, digest="d", owner="o"):
-    return tickets.authorise(ticket, submission, digest, owner).word
+    return tickets.authorise(ticket, submission, digest, owner).status
 
 
 def test_the_first_submission_is_granted_and_others_wait(tickets):
@@ -30,7 +30,7 @@
     assert tickets.settle(ticket, "f.1", "answer")
     assert not tickets.settle(ticket, "f.1", "other answer")
     verdict = tickets.authorise(ticket, "f.2", "d", "o")
-    assert verdict.word is WORD.SETTLED
+    assert verdict.status is WORD.SETTLED
     assert verdict.outcome == "answer"
 
 
--- a/src/ferryledge/limits/__init__.py
+++ b/src/ferryledge/limits/__init__.py
@@ -9,10 +9,10 @@
 Refuse = _admission.Refuse
 RetryBudget = _retry.RetryBudget
 admit = _admission.admit
-handicap = _fairness.handicap
+fair_share_penalty = _fairness.fair_share_penalty
 QuotaShares = _quota.QuotaShares
 Load = _admission.Load
-spread_delay = _retry.spread_delay
+jittered_delay = _retry.jittered_delay
 
 __all__ = [
     "Admit",
@@ -21,6 +21,6 @@
     "Refuse",
     "RetryBudget",
     "admit",
-    "handicap",
-    "spread_delay",
+    "fair_share_penalty",
+    "jittered_delay",
 ]
--- a/src/ferryledge/limits/_fairness.py
+++ b/src/ferryledge/limits/_fairness.py
@@ -5,7 +5,7 @@
 """
 
 
-def handicap(
+def fair_share_penalty(
     used: int, weight: float, total_weight: float, slots: int
 ) -> float:
     """Return by how much a workspace's jobs are weighed less; 1 is not at all.
--- a/src/ferryledge/limits/_retry.py
+++ b/src/ferryledge/limits/_retry.py
@@ -35,7 +35,7 @@
         return True
 
 
-def spread_delay(base_s: float, most_s: float, rng: random.Random) -> float:
+def jittered_delay(base_s: float, most_s: float, rng: random.Random) -> float:
     """Return a delay between one and two times the base, in seconds.
 
     :param base_s: the least delay that makes sense
--- a/src/ferryledge/loads/_world.py
+++ b/src/ferryledge/loads/_world.py
@@ -126,7 +126,7 @@
         self.nodes: dict[str, Node] = {}
         self.endpoints: dict[str, standin.LeasedEndpoint] = {}
         #: What each agent kept of its endpoint for its next start.
-        self.remembered: dict[str, leases.EndpointSeen] = {}
+        self.remembered: dict[str, leases.EndpointHeartbeat] = {}
         #: The newest stream of each agent and entry.
         self.streams: dict[tuple[str, str], Stream] = {}
         #: The stream that a process uses to a peer.
@@ -344,7 +344,7 @@
     def _recall(self, name: str, life: int) -> None:
         seen = self.remembered.get(name)
         if seen is not None and self.nodes[name].life == life:
-            self.post(name, leases.EndpointRecalled(seen))
+            self.post(name, leases.EndpointRestored(seen))
 
     def addresses(self) -> tuple[wire.EntryAddress, ...]:
         """Return where the entries listen."""
@@ -417,7 +417,7 @@
                 self._list_runs(name, renewal)
             case leases.AnswerJob(token, outcome):
                 self._note_answer(token, outcome)
-            case leases.RememberEndpoint(seen):
+            case leases.SaveEndpoint(seen):
                 self.remembered[name] = seen
             case _:
                 self._change_streams(name, action)
@@ -428,11 +428,11 @@
                 self.break_stream(name, peer)
             case leases.ReopenStream(peer):
                 self._reopen(name, peer)
-            case leases.KeepStream(peer):
+            case leases.CancelReopen(peer):
                 self.reopening.pop((name, peer), None)
             case leases.DialEntries(entries):
                 self.dialled |= {(name, one.name) for one in entries}
-            case leases.LeaveEntry(entry):
+            case leases.DisconnectEntry(entry):
                 self.dialled.discard((name, entry))
                 self.break_stream(name, entry)
             case _:
@@ -703,10 +703,10 @@
             self.rooms[agent] = endpoint.capacity
         self.post(agent, self.report_of(agent, endpoint.next_beat()))
 
-    def report_of(self, agent: str, number: int) -> leases.EndpointSeen:
+    def report_of(self, agent: str, number: int) -> leases.EndpointHeartbeat:
         """Return what the endpoint beside an agent says of itself."""
         endpoint = self.endpoints[agent]
-        return leases.EndpointSeen(
+        return leases.EndpointHeartbeat(
             endpoint.endpoint_id,
             "desk",
             "127.0.0.1:1",
--- a/src/ferryledge/placement/__init__.py
+++ b/src/ferryledge/placement/__init__.py
@@ -18,7 +18,7 @@
     RunTimes = _runtimes.RunTimes
     WaitingJob = _waiting.WaitingJob
     WaitingQueue = _waiting.WaitingQueue
-    Wish = _choice.Wish
+    PlacementRequest = _choice.PlacementRequest
     choose_endpoint = _choice.choose_endpoint
     pool_count = _pools.pool_count
     pool_of = _pools.pool_of
@@ -30,7 +30,7 @@
         {
             "_choice": (
                 "NORMAL_SLOWNESS",
-                "Wish",
+                "PlacementRequest",
                 "choose_endpoint",
             ),
             "_pools": (
@@ -59,7 +59,7 @@
     "RunTimes",
     "WaitingJob",
     "WaitingQueue",
-    "Wish",
+    "PlacementRequest",
     "choose_endpoint",
     "pool_count",
     "pool_of",
--- a/src/ferryledge/placement/_choice.py
+++ b/src/ferryledge/placement/_choice.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class PlacementRequest:
     """What a job asks of an endpoint."""
 
     #: Expected run time of one task at normal speed, in seconds.
@@ -26,12 +26,12 @@
     #: The zone of the scheduler, preferred among equals.
     home: str = ""
     #: Endpoints to use first.
-    favourites: frozenset[str] = frozenset()
+    preferred_endpoints: frozenset[str] = frozenset()
     #: Processes that may be used; none is all.
     processes: frozenset[str] | None = None
 
 
-def _worth_it(wish: Wish, slowness: float) -> bool:
+def _worth_it(wish: PlacementRequest, slowness: float) -> bool:
     """Return whether a slow slot now beats a normal slot later."""
     if slowness <= NORMAL_SLOWNESS:
         return True
@@ -41,7 +41,7 @@
 def choose_endpoint(
     rows: abc.Iterable[_tables.EndpointRow],
     run_times: _runtimes.RunTimes,
-    wish: Wish,
+    wish: PlacementRequest,
 ) -> _tables.EndpointRow | None:
     """Return the best endpoint with a free slot for a job, or none.
 
@@ -55,14 +55,14 @@
             continue
         if wish.processes is not None and row.process not in wish.processes:
             continue
-        room = row.fits(wish.memory_mb)
+        room = row.task_capacity(wish.memory_mb)
         if not room:
             continue
         slowness = run_times.slowness(row.name) / wish.normal_slowness
         if not _worth_it(wish, slowness):
             continue
         normal = slowness <= NORMAL_SLOWNESS
-        favourite = row.name in wish.favourites
+        favourite = row.name in wish.preferred_endpoints
         score = (normal, favourite, room, row.zone == wish.home)
         if best is None or score > best_score:
             best, best_score = row, score
--- a/src/ferryledge/placement/_runtimes.py
+++ b/src/ferryledge/placement/_runtimes.py
@@ -56,7 +56,7 @@
         self._services: dict[str, _Service] = {}
         self._speeds: dict[str, _Average] = {}
 
-    def expect(self, service: str, declared_s: float = 0.0) -> float:
+    def predict(self, service: str, declared_s: float = 0.0) -> float:
         """Return the expected run time in seconds at normal speed.
 
         The client's declaration is used, corrected by its usual error, as
--- a/src/ferryledge/placement/_tables.py
+++ b/src/ferryledge/placement/_tables.py
@@ -39,9 +39,9 @@
     #: Whether its zone takes no new work.
     cordoned: bool = False
     #: Whether this scheduler may use it: it is of its pools, or its own.
-    mine: bool = True
+    assigned: bool = True
     #: Whether it has gone silent or overdue with work outstanding.
-    doubted: bool = False
+    is_suspect: bool = False
     #: Whether the health judge holds it back.
     ejected: bool = False
     #: Not to be used before then: it said that it is full.
@@ -70,11 +70,11 @@
     @property
     def usable(self) -> bool:
         """Whether new work may go there at all."""
-        return (self.connected and self.mine) and not (
-            self.leaving or self.doubted or self.ejected or self.cordoned
+        return (self.connected and self.assigned) and not (
+            self.leaving or self.is_suspect or self.ejected or self.cordoned
         )
 
-    def fits(self, memory_mb: int) -> int:
+    def task_capacity(self, memory_mb: int) -> int:
         """Return how many tasks of that memory can be bound now."""
         if not memory_mb or not self.memory_mb:
             return self.free
@@ -166,7 +166,7 @@
         row.foreign_until = until
         self.refresh(row)
 
-    def forget_foreign(self, now: float) -> None:
+    def expire_foreign_slots(self, now: float) -> None:
         """Drop assumptions on others' use that are too old."""
         for row in self._rows.values():
             if row.foreign and row.foreign_until <= now:
@@ -184,7 +184,7 @@
         else:
             self._open.pop(row.name, None)
 
-    def open_rows(self, now: float) -> list[EndpointRow]:
+    def available_rows(self, now: float) -> list[EndpointRow]:
         """Return the endpoints with free slots that may be used now."""
         return [row for row in self._open.values() if row.blocked_until <= now]
 
--- a/src/ferryledge/placement/_waiting.py
+++ b/src/ferryledge/placement/_waiting.py
@@ -50,17 +50,17 @@
     """Waiting jobs of one pool.
 
     :param age_bound_s: seconds after which a job counts as aged
-    :param handicap: by how much a workspace's jobs are put back now; 1 is not
+    :param fair_share_penalty: by how much a workspace's jobs are put back now; 1 is not
         at all
     """
 
     def __init__(
         self,
         age_bound_s: float,
-        handicap: abc.Callable[[str], float] = lambda _: 1.0,
+        fair_share_penalty: abc.Callable[[str], float] = lambda _: 1.0,
     ) -> None:
         self._age_bound_s = age_bound_s
-        self._handicap = handicap
+        self._fair_share_penalty = fair_share_penalty
         self._jobs: dict[str, WaitingJob] = {}
         self._heaps: dict[str, _Heap] = {}
         self._entries: dict[str, int] = {}
@@ -82,7 +82,7 @@
         """Expected run time of all waiting tasks, in seconds."""
         return max(0.0, self._work_s)
 
-    def work_before(self, key: float) -> float:
+    def work_ahead(self, key: float) -> float:
         """Return the work in seconds that goes before a job's key."""
         if not self._jobs:
             return 0.0
@@ -138,7 +138,7 @@
         self._forget(submission)
         return job
 
-    def picks(self, now: float) -> abc.Iterator[WaitingJob]:
+    def candidates(self, now: float) -> abc.Iterator[WaitingJob]:
         """Yield jobs in the order to place them.
 
         A job that still waits after its turn is passed over for the rest
@@ -192,7 +192,8 @@
         return min(
             self._heaps,
             key=lambda workspace: (
-                self._heaps[workspace][0][0] * self._handicap(workspace)
+                self._heaps[workspace][0][0]
+                * self._fair_share_penalty(workspace)
             ),
         )
 
--- a/src/ferryledge/platform/_heartbeat.py
+++ b/src/ferryledge/platform/_heartbeat.py
@@ -49,7 +49,7 @@
     born: _Count = msgspec.field(default=0, name="born")
 
 
-def parse_heartbeat(endpoint_id: str, body: bytes) -> leases.EndpointSeen:
+def parse_heartbeat(endpoint_id: str, body: bytes) -> leases.EndpointHeartbeat:
     """Return what a heartbeat tells.
 
     :param endpoint_id: the id in the call's path
@@ -61,7 +61,7 @@
     except msgspec.DecodeError as exc:
         raise HeartbeatError(f"no heartbeat: {exc}") from exc
     capacity = beat.capacity
-    return leases.EndpointSeen(
+    return leases.EndpointHeartbeat(
         endpoint_id,
         beat.backend,
         beat.address,
--- a/src/ferryledge/policy/__init__.py
+++ b/src/ferryledge/policy/__init__.py
@@ -1,22 +1,22 @@
 """Policies: short programs by operators that steer decisions."""
 
+from ferryledge.policy import _compiled
 from ferryledge.policy import _program
-from ferryledge.policy import _ruling
 
 Facts = _program.Facts
 PolicyError = _program.PolicyError
 Program = _program.Program
-Problem = _ruling.Problem
-Ruling = _ruling.Ruling
-Rules = _ruling.Rules
-check = _ruling.check
+Problem = _compiled.Problem
+Decision = _compiled.Decision
+CompiledPolicy = _compiled.CompiledPolicy
+check = _compiled.check
 
 __all__ = [
     "Facts",
     "PolicyError",
     "Problem",
     "Program",
-    "Rules",
-    "Ruling",
+    "CompiledPolicy",
+    "Decision",
     "check",
 ]
--- a/src/ferryledge/policy/_ruling.py
+++ b/src/ferryledge/policy/_compiled.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ruling:
+class Decision:
     """What a policy says of one job."""
 
     urgency: float
@@ -60,7 +60,7 @@
     return _program.Program(text) if text.strip() else None
 
 
-class Rules:
+class CompiledPolicy:
     """A compiled policy.
 
     :param policy: its texts
@@ -72,7 +72,7 @@
         self._where = _compile(policy.where)
         self._refuse = _compile(policy.refuse)
 
-    def judge(self, facts: _program.Facts) -> Ruling:
+    def evaluate(self, facts: _program.Facts) -> Decision:
         """Weigh a job and decide whether it is refused."""
         failures = []
         urgency = facts.urgency
@@ -85,7 +85,7 @@
             refused, detail = self._decide(facts)
         except _program.PolicyError as exc:
             failures.append(f"refuse: {exc}")
-        return Ruling(urgency, refused, detail, tuple(failures))
+        return Decision(urgency, refused, detail, tuple(failures))
 
     def allows(self, facts: _program.Facts) -> bool:
         """Return whether the job may run in ``facts.zone``.
@@ -147,9 +147,9 @@
             problems.append(Problem(policy.name, name, str(exc)))
     if problems:
         return problems
-    rules = Rules(policy)
+    rules = CompiledPolicy(policy)
     for facts in _SAMPLES:
-        for failure in rules.judge(facts).failures:
+        for failure in rules.evaluate(facts).failures:
             name, _, message = failure.partition(": ")
             problems.append(Problem(policy.name, name, message))
         try:
--- a/src/ferryledge/policy/tests/test_policy.py
+++ b/src/ferryledge/policy/tests/test_policy.py
@@ -64,24 +64,24 @@
 
 
 def test_a_failing_policy_counts_as_absent_and_is_visible():
-    rules = policy.Rules(
+    rules = policy.CompiledPolicy(
         configlog.Policy("p", "1 / (tasks - 4)", "", "zone < 3")
     )
-    ruling = rules.judge(FACTS)
+    ruling = rules.evaluate(FACTS)
     assert (ruling.urgency, ruling.refused) == (FACTS.urgency, False)
     assert len(ruling.failures) == 2
 
 
 def test_urgency_is_clamped():
-    rules = policy.Rules(configlog.Policy("p", "tasks * 1000"))
-    assert rules.judge(FACTS).urgency == 100.0
+    rules = policy.CompiledPolicy(configlog.Policy("p", "tasks * 1000"))
+    assert rules.evaluate(FACTS).urgency == 100.0
 
 
 def test_a_refusal_may_give_its_reason():
-    rules = policy.Rules(
+    rules = policy.CompiledPolicy(
         configlog.Policy("p", refuse="'too large' if tasks > 3 else ''")
     )
-    ruling = rules.judge(FACTS)
+    ruling = rules.evaluate(FACTS)
     assert (ruling.refused, ruling.detail) == (True, "too large")
 
 
--- a/src/ferryledge/proofs/_mutations.py
+++ b/src/ferryledge/proofs/_mutations.py
@@ -69,7 +69,7 @@
 
 
 def _grant_all(self: _Any, *_: _Any) -> _Any:
-    return ledger.TicketVerdict(ledger.TicketWord.GRANTED)
+    return ledger.TicketVerdict(ledger.TicketStatus.GRANTED)
 
 
 def _rebind_lost(self: _Any, now: float, row: _Any) -> None:
--- a/src/ferryledge/wire/_handover_messages.py
+++ b/src/ferryledge/wire/_handover_messages.py
@@ -58,9 +58,9 @@
     #: Counts the giver's offers, from 1.
     number: int
     #: The giver's incarnation.
-    giver: str
+    delegator: str
     #: The receiver's incarnation that is meant.
-    taker: str
+    delegate: str
     #: Number of the :class:`RoomTold` that the offer goes by.
     room: int
     job: str
@@ -90,7 +90,7 @@
 class OfferAnswered(_messages.Model, frozen=True, tag="offer-answered"):
     """Whether an offer is taken; one that is not was never run."""
 
-    giver: str
+    delegator: str
     number: int
     #: Empty if it is taken.
     declined: Declined | None = None
@@ -111,7 +111,7 @@
 class JobHandled(_messages.Model, frozen=True, tag="handled"):
     """What became of a job that was taken."""
 
-    giver: str
+    delegator: str
     number: int
     how: HowHandled
     #: Why it failed, as :class:`ferryledge.outcomes.Reason` has it.
@@ -123,14 +123,14 @@
 class WithdrawJob(_messages.Model, frozen=True, tag="withdraw"):
     """The giver no longer wants a job that it offered: stop its runs."""
 
-    giver: str
+    delegator: str
     number: int
 
 
 class AskHandedIn(_messages.Model, frozen=True, tag="ask-handed-in"):
     """Ask the giver for the right to go on running jobs that were taken."""
 
-    giver: str
+    delegator: str
     number: int
     #: The numbers of their offers.
     offers: tuple[int, ...]
@@ -143,7 +143,7 @@
     before that ask has arrived.
     """
 
-    giver: str
+    delegator: str
     number: int
     offers: tuple[int, ...]
 
--- a/src/ferryledge/wire/_lease_messages.py
+++ b/src/ferryledge/wire/_lease_messages.py
@@ -69,7 +69,7 @@
     #: The packed spec, for receivers that take packed texts.
     packed_spec: bytes = b""
     #: By how much the grant ends sooner, as with :class:`GrantLease`.
-    less_ms: int = 0
+    shorten_by_ms: int = 0
 
 
 class NotStarted(enum.StrEnum):
@@ -212,7 +212,7 @@
     #: How many times as long runs take there now; 1 is as usual.
     slowness: float = 1.0
     #: Whether the receiver is told of each change; others are told seldom.
-    home: bool = True
+    is_primary: bool = True
     #: How many entries share the endpoint.
     entries: int = 1
     #: Whether it is slow as yet, having started lately.
@@ -250,7 +250,7 @@
     number: int
     #: Milliseconds by which it ends sooner: for so long the sender has not
     #: heard the entry that it runs jobs for. One byte where it is 0.
-    less_ms: int = 0
+    shorten_by_ms: int = 0
 
 
 class EntryAddress(_messages.Model, frozen=True):
