--- a/src/ferryledge/leases/__init__.py
+++ b/src/ferryledge/leases/__init__.py
@@ -1,7 +1,8 @@
-"""The decisions of entries and agents on tasks that run under leases.
+"""Decision cores of entries and agents for tasks that run under leases.
 
-Both cores are driven as those of :mod:`ferryledge.core`: ``receive`` for
-each event, ``tick`` for the actions, ``wake_at`` for the next tick.
+Both cores are driven like those of :mod:`ferryledge.core`: pass each event to
+``receive``, perform the actions that ``tick`` returns, and call ``tick`` again
+at the time that ``wake_at`` returns.
 """
 
 import typing
@@ -75,7 +76,7 @@
     incarnation_of = _incarnations.incarnation_of
     is_narrow_link = _config_readers.is_narrow_link
 else:
-    # An agent needs nothing of an entry, nor an entry of an agent.
+    # Loaded lazily, so that an entry does not import an agent's modules.
     __getattr__ = _lazy.attach(
         __name__,
         {
--- a/src/ferryledge/leases/_admission.py
+++ b/src/ferryledge/leases/_admission.py
@@ -25,7 +25,7 @@
 _UNDISPATCHED_SHARE = 0.4
 #: Base and maximum of the retry delay in seconds for a refused client.
 _RETRY_S = 0.5
-_LONGEST_RETRY_S = 5.0
+_MAX_RETRY_S = 5.0
 
 
 class Admission:
@@ -58,7 +58,7 @@
         self.retry_schedule = _retry_schedule.RetrySchedule(rng)
         self._ends_at = float("inf")
 
-    def close(self, ends_at: float) -> None:
+    def drain(self, ends_at: float) -> None:
         """Admit only jobs that are expected to end before this entry does.
 
         :param ends_at: end of this entry, in monotonic seconds
@@ -87,9 +87,9 @@
         service = job.request.job_class.service
         if may_find_agents or not self._pool.capacity_cores(now, service):
             return None
-        return self._unfit(job)
+        return self._refuse_infeasible(job)
 
-    def _unfit(self, job: _jobs.Job) -> outcomes.Refused | None:
+    def _refuse_infeasible(self, job: _jobs.Job) -> outcomes.Refused | None:
         """Return a refusal if some step fits no endpoint, else ``None``."""
         if not _placement.is_infeasible(self._pool, job):
             return None
@@ -118,9 +118,9 @@
             return None
         if self._pool.may_recover(now):
             return None
-        unfit = self._unfit(job)
-        if unfit is not None:
-            return unfit
+        infeasible = self._refuse_infeasible(job)
+        if infeasible is not None:
+            return infeasible
         if not self._rules.prompt_refusals:
             return None
         wait_s = self._wait_s(now, job, ahead)
@@ -148,9 +148,9 @@
         """
         if self._pool.may_recover(now) and now < job.demand.useful_start_by:
             return None
-        unfit = self._unfit(job)
-        if unfit is not None:
-            return unfit
+        infeasible = self._refuse_infeasible(job)
+        if infeasible is not None:
+            return infeasible
         forecast = job.forecast
         answer_s = forecast.answer_in_s if forecast is not None else math.inf
         detail = (
@@ -176,10 +176,10 @@
         cores = self._pool_share.cores(now, pool_cores, sharing_entries)
         return (ahead + job.work) / cores + self._link.wait_s(now)
 
-    def deadline_outcome(
+    def unfinished_outcome(
         self, job: _jobs.Job
     ) -> outcomes.Refused | outcomes.FailedMayHaveRun:
-        """Return the answer to a job whose deadline has passed."""
+        """Return the answer to a job that did not finish in time."""
         if job.dispatched_at is None:
             return self._refuse(outcomes.Reason.DEADLINE, "")
         origin = outcomes.Origin(outcomes.Step.ANSWER, self._name)
@@ -188,6 +188,6 @@
     def _refuse(
         self, reason: outcomes.Reason, detail: str
     ) -> outcomes.Refused:
-        delay = limits.jittered_delay(_RETRY_S, _LONGEST_RETRY_S, self._rng)
+        delay = limits.jittered_delay(_RETRY_S, _MAX_RETRY_S, self._rng)
         origin = outcomes.Origin(outcomes.Step.ADMIT, self._name)
         return outcomes.Refused(reason, origin, delay, detail)
--- a/src/ferryledge/leases/_entry.py
+++ b/src/ferryledge/leases/_entry.py
@@ -143,7 +143,7 @@
             self._notes,
             self._send,
             self._finish,
-            self._keep,
+            self._add_job,
             self._client_left,
         )
         self._actions: list[_entry_events.EntryAction] = []
@@ -238,15 +238,15 @@
                 self._cancel(now, name)
             case _entry_events.EntryDrain(until):
                 self._draining = True
-                self._scheduler.admission.close(until)
+                self._scheduler.admission.drain(until)
                 self._handover.drain()
             case _entry_events.EntryStop():
                 self._answer_all(now)
             case _:
-                self._learn(event)
+                self._on_store_event(event)
         self._tick_by = now
 
-    def _learn(self, event: _entry_events.EntryEvent) -> None:
+    def _on_store_event(self, event: _entry_events.EntryEvent) -> None:
         """Process an event that was read from the store."""
         match event:
             case _agent_events.EntriesFound(entries):
@@ -296,7 +296,7 @@
         """Return the latest time to tick for events since the last tick."""
         return self._tick_by
 
-    def _sweep_every_s(self) -> float:
+    def _sweep_interval_s(self) -> float:
         return _REVIEW_S if self._jobs.undispatched else _SWEEP_S
 
     def _send(self, peer: str, message: wire.Message) -> None:
@@ -314,7 +314,7 @@
     ) -> None:
         known = self._jobs.find(request.job)
         if known is not None:
-            self._rejoin(now, known, token, request)
+            self._attach(now, known, token, request)
             return
         if self._jobs.was_complete(request.job):
             self._reply([token], outcomes.Complete(()))
@@ -338,16 +338,16 @@
             self._finish(now, job, refusal)
             return
         self._notes.admitted(job, len(self._jobs), self._peers.version)
-        self._keep(now, job)
+        self._add_job(now, job)
 
-    def _keep(self, now: float, job: _jobs.Job) -> None:
+    def _add_job(self, now: float, job: _jobs.Job) -> None:
         """Store a job until it is answered and its runs are over."""
         self._jobs.add(job)
         self._scheduler.note_arrival(now, job)
         self._next_sweep = min(self._next_sweep, now + _REVIEW_S)
         self._dirty = True
 
-    def _rejoin(
+    def _attach(
         self,
         now: float,
         job: _jobs.Job,
@@ -385,7 +385,7 @@
         """Answer all open jobs before the process ends."""
         for job in self._jobs.open:
             self._finish(
-                now, job, self._scheduler.admission.deadline_outcome(job)
+                now, job, self._scheduler.admission.unfinished_outcome(job)
             )
 
     def _reply(self, tokens: list[int], outcome: outcomes.JobOutcome) -> None:
@@ -432,9 +432,9 @@
                 self._handover.leave(name)
                 self._pool.leave(name, incarnation)
 
-    def _apply_cordons(self, is_news: bool) -> None:
+    def _apply_cordons(self, has_changed: bool) -> None:
         """Apply a new set of cordoned zones to the pool."""
-        if not is_news:
+        if not has_changed:
             return
         self._pool.apply_cordons()
         self._notes.cordoned(self._cordons.state)
@@ -520,15 +520,17 @@
                     self._runs.released(row, name, run, reason)
             case wire.RunsEnded(name, ends, ask):
                 for end in ends:
-                    self._decide(now, self._runs.ended(now, row, name, end))
+                    self._finish_decided(
+                        now, self._runs.ended(now, row, name, end)
+                    )
                 if ask:
                     self._on_ask(now, row, wire.AskLease(ask, wanted=True))
             case wire.RunsHeld(runs):
                 for decided in self._runs.reconcile(now, row, runs):
-                    self._decide(now, decided)
+                    self._finish_decided(now, decided)
                 row.reconciled = True
 
-    def _decide(
+    def _finish_decided(
         self, now: float, decided: _run_tracker.DecidedJob | None
     ) -> None:
         """Answer a job whose outcome was decided by the end of a run."""
@@ -550,10 +552,10 @@
         self._notes.state_changed(row, state)
         self._pool.set_state(row, state)
         if self._rules.shared_evidence:
-            told = _endpoint_history.failures_for_zone(
+            zone_failures = _endpoint_history.failures_for_zone(
                 state.failing, self._zone
             )
-            self._runs.update_zone_failures(now, row, told)
+            self._runs.update_zone_failures(now, row, zone_failures)
         if self._jobs.has_waiting_tasks:
             self._dirty = True
             self._tick_by = now
@@ -567,7 +569,7 @@
         self._peers.send_keep_alives(now)
         self._peers.request_newer_config(now)
         self._send_all(self._agent_search.search_if_few(now))
-        self._next_sweep = now + self._sweep_every_s()
+        self._next_sweep = now + self._sweep_interval_s()
         self._pool.note_usable(now)
         for row in self._pool.silent(now):
             row.connected = False
@@ -577,7 +579,7 @@
         for row in self._pool.expired(now):
             self._notes.expired(now, row)
             for decided in self._runs.reconcile(now, row, ()):
-                self._decide(now, decided)
+                self._finish_decided(now, decided)
         self._runs.start_due_probes(now)
         self._sweep_jobs(now)
         self._handover.schedule_offers()
@@ -588,7 +590,7 @@
         for job in self._jobs.open:
             if now >= job.deadline_at - _DEADLINE_MARGIN_S:
                 self._finish(
-                    now, job, self._scheduler.admission.deadline_outcome(job)
+                    now, job, self._scheduler.admission.unfinished_outcome(job)
                 )
         for job, refusal in self._scheduler.review(now):
             self._finish(now, job, refusal)
--- a/src/ferryledge/leases/_job_ranking.py
+++ b/src/ferryledge/leases/_job_ranking.py
@@ -1,13 +1,12 @@
-"""The order in which waiting jobs get room.
+"""Ranks waiting jobs for the capacity of a full pool.
 
-It answers a full pool: a burst of one kind, a wave, endpoints that left.
 Jobs that can still meet their objective go first, by the latest start that is
-likely to meet it; the others take what room is left, those first whose answer
-is useless soonest. So a long job waits longer than a quick one, and both can
-be in time.
+likely to meet it. So a long job yields to a short one while both can be on
+time. Late jobs share the capacity that is left; among them, the job whose
+answer becomes useless first goes first.
 
-Known to be weak: the order does not weigh what a job's answer is worth
-against the cores that it takes, since callers do not say so.
+The value of an answer relative to its cost in cores is not considered, since
+clients do not state it.
 """
 
 from collections import abc
@@ -15,34 +14,35 @@
 from ferryledge.leases import _jobs
 from ferryledge.leases import _rules
 
-#: Seconds by which a job that has begun goes ahead of one that has not: its
-#: tasks hold room for nothing until the last of them has ended. More than
-#: most jobs may wait, so that on a full pool few are begun and those end.
+#: Seconds by which a dispatched job goes ahead of one that is not. The lead is
+#: longer than most jobs may wait: on a full pool it is better to finish a few
+#: jobs than to start many, since a job is useless until its last task ends.
 DISPATCHED_LEAD_S = 0.5
-#: Seconds that one step of a queue's priority counts as: what a quick job may
-#: wait. So operators' order decides between jobs that are about as pressing.
+#: Seconds for each level of a queue's priority. A short job may wait about as
+#: long, so priority decides only between jobs of similar urgency.
 PRIORITY_STEP_S = 0.2
-#: Seconds by which a job goes ahead whose client was refused before and comes
-#: back when it was told: what a quick job may wait.
+#: Seconds by which the retry of a refused client goes ahead, if it comes at
+#: the scheduled time.
 RETRY_LEAD_S = PRIORITY_STEP_S
-#: A late job counts as if it could wait this long, in seconds: behind all
-#: that can still meet their objective.
-_LATE_S = 30.0
+#: Seconds from now of the deadline that is reported for late jobs. It is later
+#: than that of any job that can still meet its objective.
+_LATE_DEADLINE_S = 30.0
 
 
 class JobRanking:
-    """Sorts waiting jobs.
+    """Ranks waiting jobs by a virtual deadline.
 
-    :param rules: those that hold; none is all
+    :param rules: the rules in force; defaults to all
     """
 
     def __init__(self, rules: _rules.EntryRules | None = None) -> None:
         self.rules = rules or _rules.EntryRules()
 
     def next_start_by(self, job: _jobs.Job, start_interval_s: float) -> float:
-        """Return when a job's next task should start.
+        """Return when the next task of a job should start.
 
-        Its last waiting task starts one gap later for each other one.
+        Each further waiting task starts one interval later, and the last one
+        should start by the latest start of the job.
 
         :param job: the job
         :param start_interval_s: seconds between two starts on a full pool
@@ -52,7 +52,7 @@
     def virtual_deadline(
         self, job: _jobs.Job, start_interval_s: float
     ) -> float:
-        """Return a time by which jobs are sorted: who gets room first.
+        """Return the time by which a job is ranked; the earliest goes first.
 
         :param job: the job
         :param start_interval_s: seconds between two starts on a full pool
@@ -71,7 +71,7 @@
         return virtual_deadline
 
     def is_late(self, now: float, job: _jobs.Job) -> bool:
-        """Return whether a job has not begun and is unlikely to be in time."""
+        """Return whether a job is undispatched and likely to be late."""
         if job.is_dispatched:
             return False
         return now > job.start_by or job.is_deferred
@@ -79,7 +79,7 @@
     def key(
         self, now: float, job: _jobs.Job, start_interval_s: float
     ) -> tuple[bool, float]:
-        """Return a key that sorts jobs by who gets room first."""
+        """Return the sort key of a job; the lowest goes first."""
         is_late = self.is_late(now, job)
         if is_late and job.may_be_late:
             return (is_late, job.demand.useful_start_by)
@@ -91,7 +91,7 @@
         jobs: abc.Iterable[_jobs.Job],
         start_interval_s: float,
     ) -> list[_jobs.Job]:
-        """Return jobs in the order in which they get room."""
+        """Return jobs by rank, the first to be served first."""
         return sorted(
             jobs, key=lambda job: self.key(now, job, start_interval_s)
         )
@@ -102,17 +102,18 @@
         jobs: abc.Iterable[_jobs.Job],
         start_interval_s: float,
     ) -> float | None:
-        """Return the first turn of jobs that wait; none if none does.
+        """Return the earliest virtual deadline, or ``None`` without jobs.
 
-        One that is late already yields to those that are not, unless some of
-        its tasks run: they hold their room until the last one has ended.
+        Late jobs count only if all jobs are late. A dispatched job never
+        counts as late, since its running tasks hold capacity until the last
+        one ends.
         """
         waiting = list(jobs)
-        pressing = [
+        deadlines = [
             self.virtual_deadline(job, start_interval_s)
             for job in waiting
             if not self.is_late(now, job)
         ]
-        if pressing:
-            return min(pressing)
-        return now + _LATE_S if waiting else None
+        if deadlines:
+            return min(deadlines)
+        return now + _LATE_DEADLINE_S if waiting else None
--- a/src/ferryledge/leases/_meters.py
+++ b/src/ferryledge/leases/_meters.py
@@ -1,10 +1,13 @@
-"""What the cores count. The bases count nothing; shells override them."""
+"""Interfaces for the metrics of entries and agents.
+
+The base classes ignore all calls. Subclasses record them as metrics.
+"""
 
 from ferryledge import wire
 
 
 class EntryMeter:
-    """Counts an entry's decisions."""
+    """Metrics of an entry's decisions; the base class records nothing."""
 
     def answered(
         self, outcome: str, reason: str, waited_s: float, slowdown: float
@@ -12,22 +15,28 @@
         """A job was answered.
 
         :param outcome: tag of the outcome
-        :param reason: why it is not complete; empty if it is
-        :param waited_s: seconds since its arrival
-        :param slowdown: that against its objective
+        :param reason: why the job is not complete; empty if it is
+        :param waited_s: seconds since the job's arrival
+        :param slowdown: ``waited_s`` as a multiple of the objective
         """
 
     def first_order(self, waited_s: float) -> None:
-        """A job's first runs were ordered, after that many seconds."""
+        """The first runs of a job were ordered.
+
+        :param waited_s: seconds since the job's arrival
+        """
 
     def deferred(self) -> None:
-        """A job was put behind all that can be in time."""
+        """A job was deferred behind all jobs that can be on time."""
 
     def ordered(self, count: int) -> None:
-        """Runs were ordered."""
+        """Runs were ordered.
+
+        :param count: number of runs
+        """
 
     def not_started(self, reason: wire.NotStarted) -> None:
-        """An agent released a run."""
+        """An agent released a run without starting it."""
 
     def ended(self, how: wire.HowEnded) -> None:
         """A run ended."""
@@ -36,48 +45,52 @@
         """A run was moved off a slow endpoint."""
 
     def retry_delayed(self) -> None:
-        """A task waits for the budget of second tries."""
+        """The retry of a task waits for the retry budget."""
 
     def health_changed(self) -> None:
-        """An endpoint was ejected, or taken back."""
+        """An endpoint was ejected or readmitted."""
 
     def handover(self, what: str) -> None:
-        """Something happened to a job between two entries.
+        """A handover of a job between two entries changed its state.
 
-        :param what: such as ``offered`` or ``lost``
+        :param what: the event, such as ``offered`` or ``lost``
         """
 
 
 class AgentMeter:
-    """Counts an agent's decisions."""
+    """Metrics of an agent's decisions; the base class records nothing."""
 
     def order(self, reason: str, count: int) -> None:
-        """Runs were taken, or released for a reason.
+        """Ordered runs were accepted or released.
 
-        :param reason: why not; empty if they were taken
-        :param count: how many
+        :param reason: why they were released; empty if they were accepted
+        :param count: number of runs
         """
 
     def over(self, how: wire.HowEnded, held_s: float) -> None:
-        """A run is over, after that many seconds."""
+        """A run is over.
+
+        :param how: how it ended
+        :param held_s: seconds since the run was ordered
+        """
 
     def order_unanswered(self) -> None:
-        """An order went without an answer."""
+        """The endpoint did not answer an order."""
 
     def outage(self) -> None:
-        """The endpoint is back after an outage that was not announced."""
+        """The endpoint came back after an unannounced outage."""
 
     def stream_suspected(self) -> None:
-        """A stream counts as silent; a new one is opened beside it."""
+        """A stream is suspected to be silent and a second one is opened."""
 
     def grant_expired(self) -> None:
-        """A run is stopped for want of its entry's grant."""
+        """A run was stopped, since the grant of its entry expired."""
 
     def heartbeat_ignored(self) -> None:
-        """A heartbeat is not believed, or not yet."""
+        """A heartbeat was ignored, at least for now."""
 
     def renewed(self, fault: str) -> None:
-        """The lease was renewed, or not for a fault.
+        """A renewal of the lease succeeded or failed.
 
-        :param fault: why not; empty if it was
+        :param fault: why it failed; empty if it succeeded
         """
--- a/src/ferryledge/leases/_notes.py
+++ b/src/ferryledge/leases/_notes.py
@@ -1,4 +1,4 @@
-"""What a core decided and why, for the log."""
+"""Notes on the decisions of a core, collected for the log."""
 
 from collections import abc
 
@@ -6,27 +6,27 @@
 
 from ferryledge import outcomes
 
-#: Most notes kept until they are taken; older ones are dropped.
-_MOST = 1000
+#: Maximum number of pending notes; further ones are dropped.
+_MAX_NOTES = 1000
 
 
 class Note(msgspec.Struct, frozen=True):
-    """One decision, or one change of what a core believes."""
+    """A decision of a core, or a change of its state."""
 
     step: outcomes.Step
     message: str
-    #: The job that it concerns; empty if none does.
+    #: Name of the job concerned; empty for none.
     job: str = ""
-    #: The process that it concerns; empty if none does.
+    #: Name of the process concerned; empty for none.
     peer: str = ""
-    #: Whether something went wrong: such notes are written first.
+    #: Whether the note reports a problem; such notes are written first.
     urgent: bool = False
-    #: What decided it, with ages in seconds.
+    #: Inputs of the decision; ages are in seconds.
     facts: abc.Mapping[str, object] = msgspec.field(default_factory=dict)
 
 
 class Notes:
-    """Collects notes until the shell writes them."""
+    """Collects notes until the caller logs them."""
 
     def __init__(self) -> None:
         self._notes: list[Note] = []
@@ -41,14 +41,22 @@
         urgent: bool = False,
         **facts: object,
     ) -> None:
-        """Note a decision with what decided it."""
-        if len(self._notes) >= _MOST:
+        """Add a note.
+
+        :param step: step of a job's life to which the note belongs
+        :param message: the decision
+        :param job: name of the job concerned; empty for none
+        :param peer: name of the process concerned; empty for none
+        :param urgent: whether the note reports a problem
+        :param facts: inputs of the decision
+        """
+        if len(self._notes) >= _MAX_NOTES:
             self._dropped += 1
             return
         self._notes.append(Note(step, message, job, peer, urgent, facts))
 
     def take(self) -> list[Note]:
-        """Return the notes so far, and begin anew."""
+        """Return and clear the collected notes."""
         notes = self._notes
         self._notes = []
         if self._dropped:
--- a/src/ferryledge/leases/_retry_schedule.py
+++ b/src/ferryledge/leases/_retry_schedule.py
@@ -17,11 +17,11 @@
 import msgspec
 
 #: Maximum retry delay in seconds. Later capacity is not predictable.
-_LONGEST_S = 5.0
+_MAX_DELAY_S = 5.0
 #: Seconds by which a retry may be early, since clients are told whole seconds.
-_EARLY_S = 0.5
+_EARLY_TOLERANCE_S = 0.5
 #: Seconds by which a retry may be late.
-_KEEP_S = 3.0
+_LATE_TOLERANCE_S = 3.0
 #: Maximum number of scheduled retries; beyond it the oldest is dropped.
 _MAX_ENTRIES = 2000
 
@@ -71,8 +71,8 @@
             if retry.due_at > now
         )
         delay_s = queueing_delay(reserved + work)
-        if delay_s > _LONGEST_S:
-            delay_s = _LONGEST_S * (1.0 - 0.5 * self._rng.random())
+        if delay_s > _MAX_DELAY_S:
+            delay_s = _MAX_DELAY_S * (1.0 - 0.5 * self._rng.random())
         self._retries.pop(name, None)
         self._retries[name] = _Retry(now + delay_s, work)
         return delay_s
@@ -84,17 +84,17 @@
         :param name: name of the job
         """
         known = self._retries.get(name)
-        if known is None or now < known.due_at - _EARLY_S:
+        if known is None or now < known.due_at - _EARLY_TOLERANCE_S:
             return False
         del self._retries[name]
-        return now <= known.due_at + _KEEP_S
+        return now <= known.due_at + _LATE_TOLERANCE_S
 
     def _expire(self, now: float) -> None:
         """Drop retries that were not made in time."""
         expired = [
             name
             for name, retry in self._retries.items()
-            if now > retry.due_at + _KEEP_S
+            if now > retry.due_at + _LATE_TOLERANCE_S
         ]
         for name in expired:
             del self._retries[name]
--- a/src/ferryledge/leases/_rules.py
+++ b/src/ferryledge/leases/_rules.py
@@ -1,40 +1,41 @@
-"""Which rules an entry decides by."""
+"""Rules of an entry's scheduling decisions."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryRules:
-    """The rules of an entry's decisions; all hold, but in experiments.
+    """Switches for the scheduling rules of an entry.
 
-    An experiment takes one out to learn what callers gain by it.
+    All rules are on in production. Experiments turn single rules off to
+    measure their effect.
     """
 
-    #: Jobs go by their latest start; without it by their arrival.
+    #: Rank jobs by their latest start; otherwise by their arrival.
     latest_start_first: bool = True
-    #: A job that has begun goes ahead of one that has not.
+    #: Rank jobs that are dispatched ahead of those that are not.
     begun_first: bool = True
-    #: Queues that operators put first go ahead.
+    #: Rank jobs by the priority of their queue.
     priorities: bool = True
-    #: What can't be in time is refused while that is prompt.
+    #: Refuse early the jobs that can't meet their objective.
     prompt_refusals: bool = True
-    #: What is late waits as long as its answer is of use to its client.
+    #: Keep late jobs as long as their answer is useful.
     late_answers: bool = True
-    #: Where one job would be late, the largest one is that can wait.
+    #: Defer the largest job that can wait if a job would be late.
     largest_late: bool = True
-    #: Refused callers are told when there will be room for them.
+    #: Schedule the retries of refused clients by forecast capacity.
     returns_in_order: bool = True
-    #: Agents hear how urgent the work is that waits for their room.
+    #: Report the urgency of waiting jobs to agents.
     urgency_reports: bool = True
-    #: Runs on a slow endpoint are started again elsewhere.
+    #: Move runs off slow endpoints.
     moves: bool = True
-    #: Endpoints that were faster lately come first.
+    #: Prefer endpoints that were faster recently.
     fast_first: bool = True
-    #: What other entries' runs say of an endpoint counts as well.
+    #: Use the failure rates that other entries saw at an endpoint.
     shared_evidence: bool = True
-    #: Endpoints that go down again and again are used little at first.
+    #: Use endpoints that fail repeatedly only in part after each recovery.
     damped_flaps: bool = True
-    #: Second tries never exceed a share of the work.
+    #: Limit retries to a share of all starts.
     retry_budget: bool = True
-    #: Waiting jobs are handed on to entries that can be in time.
+    #: Hand waiting jobs over to entries that can serve them on time.
     hands_on: bool = True
