--- a/src/ferryledge/leases/_timing.py
+++ b/src/ferryledge/leases/_timing.py
@@ -65,6 +65,6 @@
 
     @property
     def over_after_s(self) -> float:
-        """Seconds from an entry's last grant to the end of the agent's runs."""
+        """Seconds from an entry's last grant to the end of an agent's runs."""
         lease_s = self.lease_s * (1.0 + CLOCK_DRIFT)
         return self.grant_s + self.stop_s + lease_s + _TIMER_TOLERANCE_S
