--- a/src/ferryledge/leases/_entry.py
+++ b/src/ferryledge/leases/_entry.py
@@ -44,7 +44,7 @@
 _PAUSE_S = 0.3
 #: Seconds before the client's deadline at which an unfinished job is answered.
 _DEADLINE_MARGIN_S = 0.05
-#: Seconds within which a lease request is answered. The delay lets answers to
+#: Seconds within which a grant request is answered. The delay lets answers to
 #: several agents, and orders that carry a grant, share a tick. It is shorter
 #: than the handshake that an agent starts when an answer is overdue.
 _ANSWER_WITHIN_S = 0.002
@@ -147,8 +147,8 @@
             self._client_left,
         )
         self._actions: list[_entry_events.EntryAction] = []
-        #: Agents whose latest lease request is still to be answered.
-        self._asking: dict[str, _pool.AgentRow] = {}
+        #: Agents whose latest grant request is still to be answered.
+        self._awaiting_grant: dict[str, _pool.AgentRow] = {}
         self._draining = False
         self._next_sweep = 0.0
         self._dirty = False
@@ -319,13 +319,15 @@
         if self._jobs.was_complete(request.job):
             self._reply([token], outcomes.Complete(()))
             return
-        estimate = max(step.estimate_s for step in request.steps)
-        expected = self._run_times.predict(request.job_class.name, estimate)
+        estimate_s = max(step.estimate_s for step in request.steps)
+        expected_s = self._run_times.predict(
+            request.job_class.name, estimate_s
+        )
         job = _jobs.Job(
             request,
             [token],
             now,
-            expected,
+            expected_s,
             _jobs.make_tasks(request),
             self._run_times.spread(request.job_class.name),
         )
@@ -495,12 +497,12 @@
     ) -> None:
         row.ask_seen = ask.number
         if ask.wanted or self._pool.must_answer(row, now):
-            self._asking[row.name] = row
+            self._awaiting_grant[row.name] = row
             self._tick_by = min(self._tick_by, now + _ANSWER_WITHIN_S)
 
     def _grant(self, now: float) -> None:
-        """Answer lease requests that no order of this tick has answered."""
-        for row in self._asking.values():
+        """Answer grant requests that no order of this tick has answered."""
+        for row in self._awaiting_grant.values():
             row.answered_at = now
             if row.ask_answered != row.ask_seen:
                 row.ask_answered = row.ask_seen
@@ -509,7 +511,7 @@
                 self._send(
                     row.name, wire.GrantLease(row.ask_seen, shorten_by_ms)
                 )
-        self._asking.clear()
+        self._awaiting_grant.clear()
 
     def _on_runs_message(
         self, now: float, row: _pool.AgentRow, message: wire.Message
@@ -574,7 +576,7 @@
         for row in self._pool.silent(now):
             row.connected = False
             row.reconciled = False
-            self._notes.silent(now, row)
+            self._notes.stream_closed(now, row)
             self._actions.append(_entry_events.CloseStream(row.name))
         for row in self._pool.expired(now):
             self._notes.expired(now, row)
--- a/src/ferryledge/leases/_entry_notes.py
+++ b/src/ferryledge/leases/_entry_notes.py
@@ -11,7 +11,7 @@
 
 #: Suffix for answers after the objective. The objective follows from the
 #: expected size of the job, since the entry does not know the true one.
-_LATE = ", late by its expected size"
+_LATE_SUFFIX = ", late by its expected size"
 
 
 class EntryNotes(_handover_notes.HandoverNotes):
@@ -81,10 +81,10 @@
         tag = outcomes.tag_of(outcome)
         match outcome:
             case outcomes.Complete():
-                late = _LATE if now > job.objective_at else ""
-                self._answer(now, job, tag, f"answered: complete{late}")
+                late = _LATE_SUFFIX if now > job.objective_at else ""
+                self._add_answer(now, job, tag, f"answered: complete{late}")
             case outcomes.Refused(reason, _, retry_after_s, detail):
-                self._answer(
+                self._add_answer(
                     now,
                     job,
                     tag,
@@ -94,7 +94,7 @@
                     retry_after_s=round(retry_after_s, 3),
                 )
             case outcomes.FailedMayHaveRun(reason, origin):
-                self._answer(
+                self._add_answer(
                     now,
                     job,
                     tag,
@@ -103,9 +103,9 @@
                     reason=str(reason),
                 )
             case _:
-                self._answer(now, job, tag, f"answered: {tag}", reason=tag)
+                self._add_answer(now, job, tag, f"answered: {tag}", reason=tag)
 
-    def _answer(
+    def _add_answer(
         self,
         now: float,
         job: _jobs.Job,
@@ -139,7 +139,7 @@
         )
 
     def deferred(
-        self, now: float, job: _jobs.Job, told: _forecast.Forecast
+        self, now: float, job: _jobs.Job, forecast: _forecast.Forecast
     ) -> None:
         """A job was deferred behind all jobs that can meet their objective.
 
@@ -155,8 +155,8 @@
             job.name,
             queue=job.request.job_class.name,
             waited_s=round(now - job.arrived_at, 3),
-            room_in_s=round(told.room_in_s, 3),
-            answer_in_s=round(told.answer_in_s, 3),
+            room_in_s=round(forecast.room_in_s, 3),
+            answer_in_s=round(forecast.answer_in_s, 3),
             useful_s=round(job.useful_until - now, 3),
         )
 
@@ -284,7 +284,7 @@
             incarnation=incarnation,
         )
 
-    def silent(self, now: float, row: _pool.AgentRow) -> None:
+    def stream_closed(self, now: float, row: _pool.AgentRow) -> None:
         """The stream of a silent agent was closed."""
         self.add(
             outcomes.Step.HEALTH,
--- a/src/ferryledge/leases/_forecast.py
+++ b/src/ferryledge/leases/_forecast.py
@@ -99,24 +99,26 @@
     """Forecasts the jobs of one service at one point in time.
 
     :param now: monotonic seconds
-    :param room: capacity that is available to the jobs
+    :param capacity: capacity that is available to the jobs
     :param inflow: expected arrivals of work
     """
 
     def __init__(
-        self, now: float, room: AvailableCapacity, inflow: _arrivals.Inflow
+        self, now: float, capacity: AvailableCapacity, inflow: _arrivals.Inflow
     ) -> None:
         self._now = now
-        self._room = room
+        self._capacity = capacity
         #: Expected arrivals of work.
         self.inflow = inflow
         steps = [number * _STEP_S for number in range(_STEPS)]
         #: Core-seconds done by each step with the whole capacity.
-        self._total = _cumulative_work([room.cores_in(in_s) for in_s in steps])
+        self._total = _cumulative_work(
+            [capacity.cores_in(in_s) for in_s in steps]
+        )
         #: The same with the capacity that expected arrivals leave.
         self._spare = _cumulative_work(
             [
-                max(0.0, room.cores_in(in_s) - inflow.cores(in_s))
+                max(0.0, capacity.cores_in(in_s) - inflow.cores(in_s))
                 for in_s in steps
             ]
         )
@@ -124,7 +126,7 @@
     @property
     def cores(self) -> float:
         """Number of cores that are available now."""
-        return self._room.cores_in(0.0)
+        return self._capacity.cores_in(0.0)
 
     def forecast_on_time(self, demand: Demand, ahead: float) -> Forecast:
         """Return the forecast of a job that is ranked by its objective.
@@ -147,7 +149,7 @@
         :param ahead: core-seconds of waiting work that starts before it
         """
         room_in_s = self._start_delay(self._spare, demand, ahead)
-        # A job that fits the idle cores is never too late: the work ahead of
+        # A job that fits the idle cores may start at once: the work ahead of
         # it may be waiting for other endpoints.
         wait_s = 0.0 if self._fits(demand) else room_in_s
         if self._now + wait_s <= demand.useful_start_by:
@@ -164,18 +166,18 @@
 
     def _fits(self, demand: Demand) -> bool:
         """Return whether all waiting tasks of a job fit the idle cores."""
-        return demand.work <= self._room.free * demand.run_s
+        return demand.work <= self._capacity.free * demand.run_s
 
     def _start_delay(
-        self, capacity: list[float], demand: Demand, ahead: float
+        self, cumulative: list[float], demand: Demand, ahead: float
     ) -> float:
         """Return the seconds until the last waiting task of a job starts.
 
         Work that fits the idle cores starts at once.
         """
-        at_once = self._room.free * demand.run_s
+        at_once = self._capacity.free * demand.run_s
         work = max(0.0, ahead + demand.work - at_once)
-        return _completion_s(capacity, work) + self._room.link_wait_s
+        return _completion_s(cumulative, work) + self._capacity.link_wait_s
 
     def _make(
         self, demand: Demand, room_in_s: float, prospect: Prospect
@@ -192,17 +194,19 @@
     return list(itertools.accumulate(done, initial=0.0))
 
 
-def _completion_s(capacity: list[float], work: float) -> float:
+def _completion_s(cumulative: list[float], work: float) -> float:
     """Return the seconds until an amount of work is done.
 
-    :param capacity: cumulative core-seconds by step
+    :param cumulative: core-seconds that are done by each step
     :param work: core-seconds
     :return: infinite if it is not done within the horizon
     """
     if work <= 0.0:
         return 0.0
-    step = bisect.bisect_left(capacity, work)
-    if step == len(capacity):
+    step = bisect.bisect_left(cumulative, work)
+    if step == len(cumulative):
         return _NEVER
-    part = (work - capacity[step - 1]) / (capacity[step] - capacity[step - 1])
+    part = (work - cumulative[step - 1]) / (
+        cumulative[step] - cumulative[step - 1]
+    )
     return (step - 1 + part) * _STEP_S
--- a/src/ferryledge/leases/_jobs.py
+++ b/src/ferryledge/leases/_jobs.py
@@ -25,7 +25,8 @@
     priority: int = 0
     #: Failed runs of one task after which the job fails.
     attempts: int = 1
-    #: Part of the objective that is proportional to the job's longest task.
+    #: The objective is ``stretch`` times the longest task's run time, plus
+    #: ``target_s``.
     stretch: float = 1.0
     #: Constant part of the objective, in seconds.
     target_s: float = 0.0
@@ -115,7 +116,7 @@
     expected_s: float
     #: Tasks by step.
     tasks: list[list[Task]]
-    #: Standard deviation of the logarithm of the expected run time.
+    #: Uncertainty of ``expected_s``: standard deviation of its logarithm.
     spread: float = 0.0
     #: When the first run was ordered, or the job was offered to another entry;
     #: ``None`` before that.
--- a/src/ferryledge/leases/tests/loads.py
+++ b/src/ferryledge/leases/tests/loads.py
@@ -1,4 +1,4 @@
-"""Loads for the virtual world, and what became of their jobs."""
+"""Synthetic loads for simulated clusters, and the results of their jobs."""
 
 import dataclasses
 import random
@@ -8,19 +8,19 @@
 from ferryledge import outcomes
 
 WORK_S = 0.4
-#: What callers of calm days get: 0.13 s beside the work.
+#: Limit for an answer in an idle cluster: 0.13 s more than the work takes.
 PROMPT_S = 0.53
-#: The objective of the class: 1.6 times the work and 0.06 s.
+#: Objective of the job class: 1.6 times the work and 0.06 s.
 OBJECTIVE_S = 0.7
-#: Seconds before and after the load.
+#: Seconds that the cluster runs before and after the load.
 _SETTLE_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Jobs that come at even gaps."""
+    """Jobs that arrive at regular intervals."""
 
-    #: Share of the pool's room that they take.
+    #: Share of the pool's capacity that the jobs take.
     share: float
     tasks: int = 2
     spec_bytes: int = 4
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sent:
-    """A job that was sent."""
+    """A submitted job."""
 
     token: int
     #: Seconds from the start of the load.
@@ -39,38 +39,42 @@
 
 @dataclasses.dataclass(frozen=True)
 class Played:
-    """A world with the jobs that were sent to it."""
+    """A simulated cluster with the jobs that were submitted to it."""
 
     world: worlds.World
     sent: list[Sent]
     started_at: float
-    #: Seconds within which an answer is in time.
+    #: Seconds within which an answer is on time.
     within_s: float
 
     def in_time(self, from_s: float, for_s: float = 0.5) -> float:
-        """Return the share in time of the jobs sent in a while."""
-        jobs = [one for one in self.sent if 0 <= one.at - from_s < for_s]
-        return sum(self._is_in_time(one) for one in jobs) / len(jobs)
+        """Return the share of the jobs of a period that were on time.
 
-    def _is_in_time(self, one: Sent) -> bool:
-        if not isinstance(self.world.outcome(one.token), outcomes.Complete):
+        :param from_s: start of the period, in seconds from the load's start
+        :param for_s: length of the period in seconds
+        """
+        jobs = [job for job in self.sent if 0 <= job.at - from_s < for_s]
+        return sum(self._is_in_time(job) for job in jobs) / len(jobs)
+
+    def _is_in_time(self, job: Sent) -> bool:
+        if not isinstance(self.world.outcome(job.token), outcomes.Complete):
             return False
-        return self._wait_s(one) < self.within_s
+        return self._wait_s(job) < self.within_s
 
-    def _wait_s(self, one: Sent) -> float:
-        answered_at = self.world.answered_at[one.token] - self.started_at
-        return answered_at - one.at
+    def _wait_s(self, job: Sent) -> float:
+        answered_at = self.world.answered_at[job.token] - self.started_at
+        return answered_at - job.at
 
     def waits(self, outcome: type[outcomes.JobOutcome]) -> list[float]:
-        """Return how long jobs with such an answer waited for it."""
+        """Return the seconds that jobs with such an outcome waited."""
         return [
-            self._wait_s(one)
-            for one in self.sent
-            if isinstance(self.world.outcome(one.token), outcome)
+            self._wait_s(job)
+            for job in self.sent
+            if isinstance(self.world.outcome(job.token), outcome)
         ]
 
     def count(self, outcome: type[outcomes.JobOutcome]) -> int:
-        """Return how many jobs were answered like that."""
+        """Return the number of jobs with such an outcome."""
         return len(self.waits(outcome))
 
 
@@ -80,11 +84,11 @@
     rng: random.Random,
     within_s: float = PROMPT_S,
 ) -> Played:
-    """Offer load to a world until all of it is answered."""
+    """Submit a load to a simulated cluster and run until it is answered."""
     world.run(_SETTLE_S)
     started_at = world.now
     cores = len(world.agents) * worlds.ROOM.cpu_millis / 1000
-    gap_s = WORK_S * load.tasks / (cores * load.share)
+    interval_s = WORK_S * load.tasks / (cores * load.share)
     letters = string.ascii_lowercase[:16]
     sent = []
     while world.now - started_at < load.seconds:
@@ -97,6 +101,6 @@
             spec="".join(rng.choices(letters, k=load.spec_bytes)),
         )
         sent.append(Sent(token, world.now - started_at))
-        world.run(gap_s)
+        world.run(interval_s)
     world.run(_SETTLE_S)
     return Played(world, sent, started_at, within_s)
--- a/src/ferryledge/leases/tests/test_capacity.py
+++ b/src/ferryledge/leases/tests/test_capacity.py
@@ -1,7 +1,7 @@
-"""An endpoint whose room shrinks and grows again while it runs tasks.
+"""Endpoints whose capacity shrinks and grows while tasks run.
 
-It does not guard its room, so its agent alone keeps the bound: what runs or is
-being stopped counts on after the room has shrunk below it.
+The endpoint does not enforce its capacity, so the agent must: running and
+stopping tasks count until they are over.
 """
 
 import random
@@ -17,15 +17,15 @@
 
 @pytest.fixture
 def world() -> worlds.World:
-    """Return a world of one entry and one agent, whose endpoint is full."""
-    made = worlds.World(seed=7, entries=1, agents=1)
-    made.run(3.0)
-    made.submit("entry-0", "a" * 16, 8, work_s=1.0)
-    made.run(0.1)
-    return made
+    """Return a cluster of one entry and one agent with a full endpoint."""
+    world = worlds.World(seed=7, entries=1, agents=1)
+    world.run(3.0)
+    world.submit("entry-0", "a" * 16, 8, work_s=1.0)
+    world.run(0.1)
+    return world
 
 
-def test_nothing_starts_in_a_room_that_has_shrunk(world: worlds.World) -> None:
+def test_nothing_starts_beyond_a_shrunk_capacity(world: worlds.World) -> None:
     world.resize("agent-0", _SMALL)
     world.submit("entry-0", "b" * 16, 2, work_s=0.2)
     world.run(0.8)
@@ -37,7 +37,7 @@
     assert not world.violations
 
 
-def test_room_that_grows_is_used_at_once(world: worlds.World) -> None:
+def test_added_capacity_is_used_at_once(world: worlds.World) -> None:
     world.resize("agent-0", _SMALL)
     world.run(0.1)
     world.resize("agent-0", wire.Resources(16000, 16000, 0))
@@ -46,7 +46,7 @@
     assert isinstance(world.outcome(token), outcomes.Complete)
 
 
-def test_agent_that_starts_again_knows_the_room_that_has_shrunk(
+def test_restarted_agent_respects_a_shrunk_capacity(
     world: worlds.World,
 ) -> None:
     world.resize("agent-0", _SMALL)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_rooms_change_under_load(seed: int) -> None:
+def test_capacity_changes_under_load(seed: int) -> None:
     rng = random.Random(seed)
     world = worlds.World(seed, entries=2, agents=3)
     world.late_orders = 0.1
@@ -72,8 +72,10 @@
         entry = f"entry-{rng.randrange(2)}"
         world.submit(entry, f"{number:016x}", count, work_s, cpu)
         if rng.random() < 0.2:
-            room = wire.Resources(rng.choice((0, 2000, 5000, 8000)), 8000, 0)
-            world.resize(rng.choice(world.agents), room)
+            capacity = wire.Resources(
+                rng.choice((0, 2000, 5000, 8000)), 8000, 0
+            )
+            world.resize(rng.choice(world.agents), capacity)
         world.run(rng.expovariate(12.0))
     world.late_orders = 0.0
     world.run(10.0)
--- a/src/ferryledge/leases/tests/test_cold.py
+++ b/src/ferryledge/leases/tests/test_cold.py
@@ -1,8 +1,6 @@
-"""An endpoint that started lately is slow for a while, and says for how long.
+"""Cold endpoints, which are slow for a while after their start.
 
-A zone that is taken back may have turned cold meanwhile. What an endpoint says
-of that was read and used nowhere: tasks went there first as often as anywhere,
-and what they took was learned as its speed.
+They must be used last, and their run times must not be learned as their speed.
 """
 
 import pytest
@@ -21,13 +19,13 @@
 
 @pytest.fixture
 def world() -> worlds.World:
-    """Return a world of one entry and four agents, of which one is cold."""
-    made = worlds.World(seed=8, entries=1, agents=4)
-    made.run(3.0)
-    made.cold_until["agent-2"] = made.now + _COLD_S
-    made.heartbeat("agent-2")
-    made.run(0.1)
-    return made
+    """Return a cluster of one entry and four agents, one of them cold."""
+    world = worlds.World(seed=8, entries=1, agents=4)
+    world.run(3.0)
+    world.cold_until["agent-2"] = world.now + _COLD_S
+    world.heartbeat("agent-2")
+    world.run(0.1)
+    return world
 
 
 def _runs(world: worlds.World, agent: str) -> int:
@@ -35,7 +33,7 @@
 
 
 @pytest.mark.parametrize("cold", ["agent-0", "agent-1", "agent-3"])
-def test_cold_endpoint_comes_last(world: worlds.World, cold: str) -> None:
+def test_cold_endpoint_is_used_last(world: worlds.World, cold: str) -> None:
     world.cold_until = {cold: world.now + _COLD_S}
     for agent in world.agents:
         world.heartbeat(agent)
@@ -46,10 +44,10 @@
     assert idle == [cold]
 
 
-def test_cold_endpoint_serves_what_the_others_have_no_room_for(
+def test_cold_endpoint_serves_tasks_that_fit_no_other(
     world: worlds.World,
 ) -> None:
-    # Several times slower, which would be sick for another one.
+    # Slow enough to count as unhealthy if it were not cold.
     world.endpoints["agent-2"].speed = 0.3
     token = world.submit("entry-0", "a" * 16, 32, work_s=0.5)
     world.run(0.1)
@@ -58,7 +56,7 @@
     assert isinstance(world.outcome(token), outcomes.Complete)
 
 
-def test_its_speed_is_not_learned_until_it_is_warm(
+def test_speed_of_a_cold_endpoint_is_not_learned(
     world: worlds.World,
 ) -> None:
     world.endpoints["agent-2"].speed = 0.5
@@ -68,7 +66,9 @@
     assert _core(world)._run_times.slowness("agent-2") == 1.0
 
 
-def test_it_counts_as_any_other_once_it_is_warm(world: worlds.World) -> None:
+def test_endpoint_is_no_longer_cold_once_it_is_warm(
+    world: worlds.World,
+) -> None:
     world.run(_COLD_S + 0.2)
     row = _core(world).pool.find("agent-2")
     assert row is not None and not row.state.cold
--- a/src/ferryledge/leases/tests/test_crowded_entry.py
+++ b/src/ferryledge/leases/tests/test_crowded_entry.py
@@ -1,7 +1,6 @@
-"""Callers crowd at one entry while its neighbours have room.
+"""Clients crowd at one entry while other entries have spare capacity.
 
-With one zone at three times the demand of the others, 128 of 136 refused
-jobs were in that zone: an entry handed nothing on.
+Guards against refusals at the crowded entry that a handover avoids.
 """
 
 import dataclasses
@@ -28,7 +27,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_crowded_entry_serves_as_an_equal_deal_does(seed: int) -> None:
+def test_crowded_entry_serves_as_many_as_a_balanced_load(seed: int) -> None:
     crowded = _crowded()
     shares = tuple(1.0 for _ in crowded.entries)
     equal = dataclasses.replace(crowded, entries=shares)
@@ -36,7 +35,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_handing_on_is_what_brings_it(seed: int) -> None:
+def test_result_depends_on_handovers(seed: int) -> None:
     crowded = _crowded()
     shares = tuple(1.0 for _ in crowded.entries)
     equal = dataclasses.replace(crowded, entries=shares)
--- a/src/ferryledge/leases/tests/test_job_ranking.py
+++ b/src/ferryledge/leases/tests/test_job_ranking.py
@@ -1,4 +1,4 @@
-"""How long a job may wait for its start."""
+"""Ranking of waiting jobs, and how long a job may wait."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 from ferryledge import placement
 from ferryledge import wire
 
-TURNS = _job_ranking.JobRanking()
+RANKING = _job_ranking.JobRanking()
 _CLASS = leases.JobClass("quick", "desk", stretch=1.6, target_s=0.06)
 
 
@@ -23,7 +23,7 @@
     return _jobs.Job(request, [1], 10.0, 1.0, tasks, spread)
 
 
-def test_job_of_known_size_may_wait_for_all_its_slack() -> None:
+def test_job_of_known_size_may_use_all_its_slack() -> None:
     assert _job(0.0).start_by == pytest.approx(10.0 + 0.66)
 
 
@@ -33,7 +33,7 @@
     )
 
 
-def test_spread_is_learned_from_what_tasks_took() -> None:
+def test_spread_is_learned_from_run_times() -> None:
     times = placement.RunTimes()
     assert times.spread("quick") == pytest.approx(0.7)
     for number in range(400):
@@ -42,62 +42,66 @@
     assert times.spread("quick") < 0.1
 
 
-def test_begun_job_stays_pressing_for_agents() -> None:
-    begun, waiting = _job(0.0), _job(0.0)
-    begun.dispatched_at = 10.1
-    late = begun.start_by + 1.0
-    virtual_deadline = begun.start_by - _job_ranking.DISPATCHED_LEAD_S
+def test_dispatched_job_is_not_late() -> None:
+    dispatched, waiting = _job(0.0), _job(0.0)
+    dispatched.dispatched_at = 10.1
+    late = dispatched.start_by + 1.0
+    virtual_deadline = dispatched.start_by - _job_ranking.DISPATCHED_LEAD_S
     assert (
-        TURNS.earliest_deadline(late, [begun, waiting], 0.0)
+        RANKING.earliest_deadline(late, [dispatched, waiting], 0.0)
         == virtual_deadline
     )
 
 
-def test_begun_job_goes_before_one_that_is_about_as_pressing() -> None:
-    begun, waiting = _job(0.0), _job(0.0)
-    begun.dispatched_at = 10.1
-    begun.arrived_at = waiting.arrived_at + 0.4
-    assert TURNS.virtual_deadline(begun, 0.0) < TURNS.virtual_deadline(
-        waiting, 0.0
-    )
-    begun.arrived_at = waiting.arrived_at + 0.6
-    assert TURNS.virtual_deadline(begun, 0.0) > TURNS.virtual_deadline(
-        waiting, 0.0
-    )
+def test_dispatched_job_precedes_one_of_similar_urgency() -> None:
+    dispatched, waiting = _job(0.0), _job(0.0)
+    dispatched.dispatched_at = 10.1
+    dispatched.arrived_at = waiting.arrived_at + 0.4
+    assert RANKING.virtual_deadline(
+        dispatched, 0.0
+    ) < RANKING.virtual_deadline(waiting, 0.0)
+    dispatched.arrived_at = waiting.arrived_at + 0.6
+    assert RANKING.virtual_deadline(
+        dispatched, 0.0
+    ) > RANKING.virtual_deadline(waiting, 0.0)
 
 
-def test_urgent_queue_goes_before_one_that_is_about_as_pressing() -> None:
+def test_urgent_queue_precedes_one_of_similar_urgency() -> None:
     urgent, other = _job(0.0), _job(0.0)
     job_class = other.request.job_class
     lower = dataclasses.replace(job_class, priority=job_class.priority + 1)
     other.request = dataclasses.replace(other.request, job_class=lower)
     urgent.arrived_at = other.arrived_at + 0.15
-    assert TURNS.virtual_deadline(urgent, 0.0) < TURNS.virtual_deadline(
+    assert RANKING.virtual_deadline(urgent, 0.0) < RANKING.virtual_deadline(
         other, 0.0
     )
     urgent.arrived_at = other.arrived_at + 0.25
-    assert TURNS.virtual_deadline(urgent, 0.0) > TURNS.virtual_deadline(
+    assert RANKING.virtual_deadline(urgent, 0.0) > RANKING.virtual_deadline(
         other, 0.0
     )
 
 
-def test_late_job_yields_to_all_that_are_not() -> None:
+def test_late_job_yields_to_jobs_that_are_on_time() -> None:
     late, timely = _job(0.0), _job(0.0)
     timely.arrived_at = 11.0
     assert (
-        TURNS.earliest_deadline(11.0, [late, timely], 0.0) == timely.start_by
+        RANKING.earliest_deadline(11.0, [late, timely], 0.0) == timely.start_by
     )
-    assert TURNS.earliest_deadline(11.0, [late], 0.0) == pytest.approx(41.0)
+    assert RANKING.earliest_deadline(11.0, [late], 0.0) == pytest.approx(41.0)
 
 
-def test_wide_job_begins_sooner_than_one_task_of_its_size() -> None:
+def test_job_of_several_tasks_should_start_earlier() -> None:
     job = _job(0.0)
-    assert TURNS.next_start_by(job, 0.02) == pytest.approx(job.start_by - 0.04)
+    assert RANKING.next_start_by(job, 0.02) == pytest.approx(
+        job.start_by - 0.04
+    )
     job.set_state(job.all_tasks[0], _jobs.TaskState.BOUND)
-    assert TURNS.next_start_by(job, 0.02) == pytest.approx(job.start_by - 0.02)
+    assert RANKING.next_start_by(job, 0.02) == pytest.approx(
+        job.start_by - 0.02
+    )
 
 
-def test_gap_between_starts_follows_share_and_size() -> None:
+def test_start_interval_follows_share_and_task_size() -> None:
     share = _pool_share.PoolShare()
     for tick in range(400):
         share.note_started(tick / 100, 0.5, 2)
@@ -105,11 +109,11 @@
     assert share.start_interval_s == pytest.approx(0.25 / 50.0, rel=0.02)
 
 
-def test_entry_of_many_homes_repeats_itself_less_often() -> None:
-    wanting = _urgency_reports.UrgencyReports(
+def test_reports_to_many_agents_are_less_frequent() -> None:
+    reports = _urgency_reports.UrgencyReports(
         reported_deadline=1.0, reported_at=5.0, reported_agents=50
     )
-    assert wanting.due_at(2.0) == pytest.approx(5.05)
-    wanting.reported_agents = 2
-    assert wanting.due_at(2.0) == pytest.approx(5.006)
-    assert wanting.due_at(1.001) == float("inf")
+    assert reports.due_at(2.0) == pytest.approx(5.05)
+    reports.reported_agents = 2
+    assert reports.due_at(2.0) == pytest.approx(5.006)
+    assert reports.due_at(1.001) == float("inf")
--- a/src/ferryledge/leases/tests/test_jobs.py
+++ b/src/ferryledge/leases/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""A job's own accounts."""
+"""State of a job's tasks."""
 
 from ferryledge import leases
 from ferryledge.leases import _jobs
@@ -16,7 +16,7 @@
     return _jobs.Job(request, [1], 0.0, 0.1, _jobs.make_tasks(request))
 
 
-def test_waiting_tasks_are_counted_through_all_states() -> None:
+def test_waiting_count_follows_task_states() -> None:
     job = _job()
     assert job.waiting == 3
     first, second = job.startable()
--- a/src/ferryledge/leases/tests/test_late_answers.py
+++ b/src/ferryledge/leases/tests/test_late_answers.py
@@ -1,9 +1,7 @@
-"""A wave whose crest is above the room for some seconds.
+"""Load that exceeds the capacity for some seconds.
 
-On two days in a row one job in a hundred was refused within the four seconds
-of a crest, although the load fell right after it and nearly all clients would
-have had use for an answer that came somewhat late. By the latest start alone
-jobs of all kinds became late at the same moment.
+Guards against refusing jobs whose answer would be late, but still useful once
+the peak has passed.
 """
 
 import dataclasses
@@ -31,51 +29,51 @@
 
 
 def _mean(played: list[loads.Results], end: loads.JobEnd) -> float:
-    return sum(one.share(end) for one in played) / len(played)
+    return sum(results.share(end) for results in played) / len(played)
 
 
 @pytest.fixture(scope="module")
-def crest() -> list[loads.Results]:
+def peak() -> list[loads.Results]:
     return _play("crest")
 
 
-def test_half_of_the_refusals_on_a_crest_are_needless(
-    crest: list[loads.Results],
+def test_late_answers_avoid_refusals_during_a_peak(
+    peak: list[loads.Results],
 ) -> None:
     without = _play("crest", loads.without("late_answers"))
     end = loads.JobEnd
-    assert _mean(crest, end.REFUSED) < 0.6 * _mean(without, end.REFUSED)
-    assert _mean(crest, end.IN_TIME) > _mean(without, end.IN_TIME) + 0.04
-    assert not any(one.violations for one in crest)
+    assert _mean(peak, end.REFUSED) < 0.6 * _mean(without, end.REFUSED)
+    assert _mean(peak, end.IN_TIME) > _mean(without, end.IN_TIME) + 0.04
+    assert not any(results.violations for results in peak)
 
 
-def test_fewer_are_late_where_the_largest_wait(
-    crest: list[loads.Results],
+def test_fewer_jobs_are_late_if_the_largest_are_deferred(
+    peak: list[loads.Results],
 ) -> None:
     without = _play("crest", loads.without("largest_late"))
     end = loads.JobEnd
-    assert _mean(crest, end.IN_TIME) > _mean(without, end.IN_TIME) + 0.02
-    assert _mean(crest, end.REFUSED) < _mean(without, end.REFUSED)
+    assert _mean(peak, end.IN_TIME) > _mean(without, end.IN_TIME) + 0.02
+    assert _mean(peak, end.REFUSED) < _mean(without, end.REFUSED)
 
 
-def test_hardly_an_answer_is_of_no_use(crest: list[loads.Results]) -> None:
-    for one in crest:
+def test_hardly_any_answer_is_useless(peak: list[loads.Results]) -> None:
+    for results in peak:
         useless = sum(
             ended.took_s is not None
             and ended.end is loads.JobEnd.LATE
             and not ended.is_useful
-            for ended in one.ended
+            for ended in results.ended
         )
-        assert useless / len(one.ended) < 0.005
+        assert useless / len(results.ended) < 0.005
 
 
-def test_what_is_refused_is_refused_promptly(
-    crest: list[loads.Results],
+def test_refusals_are_prompt(
+    peak: list[loads.Results],
 ) -> None:
-    assert all(one.refusal_s() < 0.3 for one in crest)
+    assert all(results.refusal_s() < 0.3 for results in peak)
 
 
-def test_a_burst_of_one_queue_costs_fewer_refusals() -> None:
+def test_late_answers_avoid_refusals_in_a_burst_of_one_queue() -> None:
     load = loads.read(FILES / "one-queue-bursts.toml")
     refused = loads.JobEnd.REFUSED
     played = loads.play(load, 1)
@@ -89,8 +87,8 @@
 _PATIENT = dataclasses.replace(loads.JOB_CLASS, late_factor=3.0)
 
 
-def test_job_is_not_held_beyond_its_use_while_agents_stay_away() -> None:
-    """While agents are likely to come back no forecast can be made."""
+def test_job_is_refused_in_time_while_agents_stay_away() -> None:
+    """There is no forecast while agents are expected to come back."""
     world = loads.World(seed=1, entries=1, agents=1)
     world.run(2.0)
     world.kill("agent-0", down_s=8.0)
@@ -105,7 +103,7 @@
     assert world.answered_at[token] - sent_at < useful_s
 
 
-def test_job_waits_for_an_agent_that_is_back_in_time_to_be_of_use() -> None:
+def test_job_waits_for_an_agent_that_comes_back_in_time() -> None:
     world = loads.World(seed=1, entries=1, agents=1)
     world.run(2.0)
     world.kill("agent-0", down_s=0.3)
@@ -116,8 +114,8 @@
     assert isinstance(world.outcome(token), outcomes.Complete)
 
 
-def test_any_job_can_be_forecast() -> None:
-    """An entry that may hand a job on asks for its prospect first."""
+def test_job_that_is_not_held_can_be_forecast() -> None:
+    """An entry forecasts a job before it decides on a handover."""
     world = loads.World(seed=1, entries=1, agents=1)
     world.run(2.0)
     core = world.nodes["entry-0"].core
@@ -125,10 +123,10 @@
     request = leases.LeasedJob("b" * 16, _PATIENT, "spec", (step,), 6.0)
     tasks = _jobs.make_tasks(request)
     job = _jobs.Job(request, [1], world.now, 0.2, tasks)
-    told = core._scheduler.forecast(world.now, job)
-    assert told.prospect is _forecast.Prospect.IN_TIME
+    forecast = core._scheduler.forecast(world.now, job)
+    assert forecast.prospect is _forecast.Prospect.IN_TIME
     world.submit("entry-0", "c" * 16, 80, 2.0, deadline_s=60.0)
     world.run(0.2)
     job.arrived_at = world.now
-    told = core._scheduler.forecast(world.now, job)
-    assert told.prospect is not _forecast.Prospect.IN_TIME
+    forecast = core._scheduler.forecast(world.now, job)
+    assert forecast.prospect is not _forecast.Prospect.IN_TIME
--- a/src/ferryledge/leases/tests/test_leases.py
+++ b/src/ferryledge/leases/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Jobs under leases, through the usual and through faults."""
+"""Jobs under leases, in normal operation and with faults."""
 
 import pytest
 
@@ -10,9 +10,9 @@
 
 @pytest.fixture
 def world() -> worlds.World:
-    made = worlds.World(seed=1)
-    made.run(2.0)
-    return made
+    world = worlds.World(seed=1)
+    world.run(2.0)
+    return world
 
 
 def is_complete(world: worlds.World, token: int) -> bool:
@@ -41,7 +41,7 @@
     assert is_complete(world, token)
 
 
-def test_room_is_never_exceeded_by_two_entries(world: worlds.World) -> None:
+def test_two_entries_never_exceed_the_capacity(world: worlds.World) -> None:
     tokens = [
         world.submit(f"entry-{n % 2}", f"{n:016x}", count=4, cpu=1700)
         for n in range(20)
@@ -50,8 +50,8 @@
     assert not world.violations
     answers = [world.outcome(token) for token in tokens]
     assert all(
-        isinstance(one, outcomes.Complete | outcomes.Refused)
-        for one in answers
+        isinstance(answer, outcomes.Complete | outcomes.Refused)
+        for answer in answers
     )
 
 
@@ -90,11 +90,11 @@
     token = world.submit("entry-0", "d" * 16, count=1)
     world.run(1.5)
     if not is_complete(world, token):
-        # Both attempts may have met a failing endpoint.
+        # Both attempts may have been on failing endpoints.
         assert world.started["d" * 16] == worlds.JOB_CLASS.attempts
 
 
-def test_hopeless_job_fails_after_its_attempts(world: worlds.World) -> None:
+def test_failing_job_fails_after_its_attempts(world: worlds.World) -> None:
     world.failing_jobs.add("e" * 16)
     token = world.submit("entry-0", "e" * 16, count=1)
     world.run(2.0)
@@ -106,15 +106,15 @@
     assert world.started["e" * 16] == worlds.JOB_CLASS.attempts
 
 
-def test_client_that_leaves_stops_its_runs(world: worlds.World) -> None:
+def test_runs_stop_when_the_client_disconnects(world: worlds.World) -> None:
     token = world.submit("entry-0", "f" * 16, work_s=2.0)
     world.run(0.2)
     world.post("entry-0", leases.ClientLeft(token, "f" * 16))
     world.run(0.3)
-    assert not any(one.runs for one in world.endpoints.values())
+    assert not any(endpoint.runs for endpoint in world.endpoints.values())
 
 
-def test_repeat_at_the_same_entry_joins_the_first(
+def test_repeated_submission_joins_the_first(
     world: worlds.World,
 ) -> None:
     first = world.submit("entry-0", "1" * 16, count=2)
@@ -125,7 +125,7 @@
     assert world.started["1" * 16] == 2
 
 
-def test_slow_endpoint_loses_its_runs_to_others(world: worlds.World) -> None:
+def test_runs_move_off_a_slow_endpoint(world: worlds.World) -> None:
     for endpoint in world.endpoints.values():
         endpoint.speed = 1.0
     slow = world.endpoints["agent-1"]
@@ -174,14 +174,14 @@
     assert not world.started["7" * 16]
 
 
-def test_jobs_wait_while_the_agents_are_being_found() -> None:
+def test_jobs_wait_until_agents_are_found() -> None:
     world = worlds.World(seed=3)
     token = world.submit("entry-0", "3" * 16)
     world.run(2.5)
     assert is_complete(world, token)
 
 
-def test_config_and_addresses_are_handed_on() -> None:
+def test_newest_config_is_sent_to_peers() -> None:
     world = worlds.World(seed=4)
     hello = wire.Hello(wire.Role.ENTRY, "entry-1", "x", "north")
     core = world.nodes["entry-0"].core
@@ -199,7 +199,7 @@
     assert wire.ConfigReply(6, b"old") not in sent
 
 
-def test_ending_entry_answers_what_is_open(world: worlds.World) -> None:
+def test_stopping_entry_answers_open_jobs(world: worlds.World) -> None:
     started = world.submit("entry-0", "5" * 16, work_s=2.0)
     world.run(0.1)
     world.post("entry-0", leases.EntryStop())
@@ -229,7 +229,7 @@
     assert checked
 
 
-def test_lease_stays_within_an_endpoints_bounds() -> None:
+def test_lease_stays_within_the_limits_of_an_endpoint() -> None:
     timing = leases.LeaseTiming.within(0.4, 0.02)
     assert timing.lease_s < 0.4
     assert timing.stop_s == 0.02
@@ -240,7 +240,7 @@
     return world.nodes[entry].core.usable_agents(world.now)
 
 
-def test_agents_that_start_again_do_not_wait_for_a_heartbeat(
+def test_restarted_agents_do_not_wait_for_a_heartbeat(
     world: worlds.World,
 ) -> None:
     for agent in world.agents:
@@ -263,7 +263,7 @@
     assert not world.violations
 
 
-def test_agent_that_recalls_a_draining_endpoint_starts_nothing(
+def test_agent_that_restores_a_draining_endpoint_starts_nothing(
     world: worlds.World,
 ) -> None:
     for agent in world.agents:
@@ -274,7 +274,7 @@
     assert usable_agents(world) == 0
 
 
-def test_jobs_wait_for_the_agents_that_come_back_after_the_first() -> None:
+def test_jobs_wait_for_agents_that_come_back_one_by_one() -> None:
     world = worlds.World(seed=1, agents=3)
     world.run(2.0)
     for number, agent in enumerate(world.agents):
@@ -299,7 +299,7 @@
     assert not world.started["f" * 16]
 
 
-def test_entries_without_runs_answer_few_asks(world: worlds.World) -> None:
+def test_idle_entries_answer_few_grant_requests(world: worlds.World) -> None:
     world.sent.clear()
     world.run(6.0)
     pairs = len(world.agents) * len(world.entries)
@@ -307,8 +307,8 @@
     assert usable_agents(world) == len(world.agents)
 
 
-def test_order_brings_its_own_grant(world: worlds.World) -> None:
-    """It starts although the agent's last answered ask is too old."""
+def test_order_carries_a_grant(world: worlds.World) -> None:
+    """A run starts although the agent's last grant has expired."""
     world.run(0.3)
     for agent in world.agents:
         for owner in world.nodes[agent].core._owners:
@@ -334,7 +334,7 @@
     assert not world.started["4" * 16]
 
 
-def test_refusal_of_a_stopping_entry_is_noted(world: worlds.World) -> None:
+def test_refusal_of_a_stopping_entry_is_logged(world: worlds.World) -> None:
     world.post("entry-0", leases.EntryDrain(world.now + 0.1))
     world.submit("entry-0", "5" * 16, work_s=0.9)
     notes = world.nodes["entry-0"].core.pop_notes()
@@ -342,7 +342,7 @@
 
 
 def test_job_is_refused_when_the_share_of_its_entry_is_too_small() -> None:
-    """A pool that would do for one entry is shared by two."""
+    """Two entries share a pool that has capacity for the jobs of one."""
     world = worlds.World(seed=1, agents=2)
     world.run(2.0)
     core = world.nodes["entry-0"].core
