--- a/src/ferryledge/leases/_rules.py
+++ b/src/ferryledge/leases/_rules.py
@@ -7,7 +7,7 @@
 class EntryRules:
     """Switches for the scheduling rules of an entry.
 
-    All rules are on in production. Experiments turn single rules off to
+    All rules are on by default. Experiments turn single rules off to
     measure their effect.
     """
 
