--- a/src/ferryledge/leases/_entry.py
+++ b/src/ferryledge/leases/_entry.py
@@ -1,8 +1,9 @@
-"""An entry's decisions on leased tasks.
+"""The decision core of an entry: admits jobs, orders their runs, answers.
 
-The entry that took a job orders all its runs, at the agents, and answers
-once. A task is ordered again only after its run is known to be over: by its
-agent's word, or because nothing can have renewed it any longer.
+The entry that admitted a job orders all runs of its tasks from the agents and
+answers the client once. A task is ordered again only after its previous run
+is known to be over: its agent reported so, or the lease of the run has
+expired.
 """
 
 import math
@@ -35,34 +36,38 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Seconds between looks at jobs that nothing was ordered for.
+#: Seconds between reviews of jobs that no run was ordered for.
 _REVIEW_S = 0.02
-#: Seconds between looks at silence and deadlines.
+#: Seconds between checks for silent peers and passed deadlines.
 _SWEEP_S = 0.1
-#: A sweep that comes later than this shows that the process was paused.
+#: Delay of a sweep in seconds beyond which the process counts as paused.
 _PAUSE_S = 0.3
-#: Seconds before the client's deadline at which a job is given up.
-_GIVE_UP_S = 0.05
-#: Seconds within which an ask is answered: those of several agents, and an
-#: order that answers by the way, share a tick. Shorter than the handshake
-#: that an agent begins where an answer is overdue.
+#: Seconds before the client's deadline at which an unfinished job is answered.
+_DEADLINE_MARGIN_S = 0.05
+#: Seconds within which a grant request is answered. The delay lets answers to
+#: several agents, and orders that carry a grant, share a tick. It is shorter
+#: than the handshake that an agent starts when an answer is overdue.
 _ANSWER_WITHIN_S = 0.002
 _NEVER = float("inf")
 
 
 class LeaseEntry:
-    """Takes jobs, orders their runs, answers.
+    """Admits jobs, orders their runs and answers their clients.
 
-    :param name: this process
-    :param incarnation: this start of the process
-    :param zone: its availability zone
+    Performs no I/O: :meth:`receive` takes events, :meth:`tick` returns the
+    actions that are due.
+
+    :param name: name of this entry
+    :param incarnation: identifies this start of the process
+    :param zone: availability zone of this entry
     :param rng: source of all randomness
-    :param timing: the lease rule
-    :param remote_factor: how many times as long a task takes away from its data
-    :param meter: counts its decisions; none is nowhere
-    :param link_bytes_per_s: what the link of its machine carries; infinite
-        if that is unknown
-    :param rules: those that it decides by
+    :param timing: timing of leases; defaults to the standard timing
+    :param remote_factor: run time of a task away from its data, as a multiple
+        of its run time near the data
+    :param meter: counts decisions; defaults to one that counts nothing
+    :param link_bytes_per_s: bandwidth of the machine's network link;
+        infinite if unknown
+    :param rules: the rules in force; defaults to all
     """
 
     def __init__(
@@ -138,70 +143,70 @@
             self._notes,
             self._send,
             self._finish,
-            self._keep,
+            self._add_job,
             self._client_left,
         )
         self._actions: list[_entry_events.EntryAction] = []
-        #: Agents whose last ask is to be answered.
-        self._asking: dict[str, _pool.AgentRow] = {}
+        #: Agents whose latest grant request is still to be answered.
+        self._awaiting_grant: dict[str, _pool.AgentRow] = {}
         self._draining = False
         self._next_sweep = 0.0
         self._dirty = False
-        #: When to tick for what came since the last tick.
+        #: When to tick for the events received since the last tick.
         self._tick_by = _NEVER
         self._now = 0.0
 
     @property
     def open_jobs(self) -> int:
-        """Jobs whose clients wait."""
+        """Number of jobs whose clients wait for an answer."""
         return len(self._jobs.open)
 
     @property
     def pool(self) -> _pool.Pool:
-        """The agents."""
+        """The known agents and their endpoints."""
         return self._pool
 
     @property
     def peers(self) -> _peers.EntryPeers:
-        """The other entries."""
+        """Other entries, and the configuration shared with them."""
         return self._peers
 
     @property
     def link(self) -> _uplink.Uplink:
-        """The link of this entry's machine."""
+        """The network link of this entry's machine."""
         return self._link
 
     def pop_notes(self) -> list[_notes.Note]:
-        """Return what was decided since the last call, for the log."""
+        """Return the notes on decisions since the last call, for the log."""
         return self._notes.take()
 
     def holds(self, name: str) -> bool:
-        """Return whether a job is open here."""
+        """Return whether this entry has an open job of that name."""
         job = self._jobs.find(name)
         return job is not None and not job.closed
 
     @property
     def waiting_tasks(self) -> int:
-        """Tasks of open jobs that nothing is ordered for."""
+        """Number of tasks of open jobs that are ready and not ordered."""
         return sum(len(job.startable()) for job in self._jobs.waiting)
 
     def usable_agents(self, now: float) -> int:
-        """Return how many agents take work from this entry."""
+        """Return the number of agents that take work from this entry."""
         return sum(row.usable(now) for row in self._pool)
 
     def pending(self, job_class: str) -> int:
-        """Return how many open jobs of a class nothing was ordered for."""
+        """Return the number of open jobs of a class without any order."""
         return sum(
             job.request.job_class.name == job_class
             for job in self._jobs.undispatched
         )
 
     def is_usable(self, now: float) -> bool:
-        """Return whether some endpoint takes work from this entry."""
+        """Return whether any endpoint takes work from this entry."""
         return self._pool.is_usable(now)
 
     def hello(self) -> wire.Hello:
-        """Return the greeting for a new stream."""
+        """Return the first message for a new stream."""
         return wire.Hello(
             wire.Role.ENTRY,
             self._name,
@@ -214,10 +219,10 @@
             takes_jobs=self._handover.takes_jobs,
         )
 
-    # Driving.
+    # Events and ticks.
 
     def receive(self, now: float, event: _entry_events.EntryEvent) -> None:
-        """Take in one event."""
+        """Process an event."""
         self._now = now
         match event:
             case wire.Received(peer, message):
@@ -233,16 +238,16 @@
                 self._cancel(now, name)
             case _entry_events.EntryDrain(until):
                 self._draining = True
-                self._scheduler.admission.close(until)
+                self._scheduler.admission.drain(until)
                 self._handover.drain()
             case _entry_events.EntryStop():
                 self._answer_all(now)
             case _:
-                self._learn(event)
+                self._on_store_event(event)
         self._tick_by = now
 
-    def _learn(self, event: _entry_events.EntryEvent) -> None:
-        """Take in what the store told."""
+    def _on_store_event(self, event: _entry_events.EntryEvent) -> None:
+        """Process an event that was read from the store."""
         match event:
             case _agent_events.EntriesFound(entries):
                 self._peers.learn_entries(entries)
@@ -279,7 +284,7 @@
         return actions
 
     def wake_at(self) -> float:
-        """Return when to tick at the latest."""
+        """Return the latest time of the next tick, in monotonic seconds."""
         return min(
             self._tick_by,
             self._next_sweep,
@@ -288,10 +293,10 @@
         )
 
     def tick_by(self) -> float:
-        """Return when to tick for the events since the last tick."""
+        """Return the latest time to tick for events since the last tick."""
         return self._tick_by
 
-    def _sweep_every_s(self) -> float:
+    def _sweep_interval_s(self) -> float:
         return _REVIEW_S if self._jobs.undispatched else _SWEEP_S
 
     def _send(self, peer: str, message: wire.Message) -> None:
@@ -299,8 +304,8 @@
         self._actions.append(_entry_events.SendMessage(peer, message))
 
     def _send_all(self, messages: list[_entry_events.SendMessage]) -> None:
-        for one in messages:
-            self._send(one.peer, one.message)
+        for action in messages:
+            self._send(action.peer, action.message)
 
     # Clients.
 
@@ -309,47 +314,49 @@
     ) -> None:
         known = self._jobs.find(request.job)
         if known is not None:
-            self._rejoin(now, known, token, request)
+            self._attach(now, known, token, request)
             return
         if self._jobs.was_complete(request.job):
             self._reply([token], outcomes.Complete(()))
             return
-        estimate = max(step.estimate_s for step in request.steps)
-        expected = self._run_times.predict(request.job_class.name, estimate)
+        estimate_s = max(step.estimate_s for step in request.steps)
+        expected_s = self._run_times.predict(
+            request.job_class.name, estimate_s
+        )
         job = _jobs.Job(
             request,
             [token],
             now,
-            expected,
+            expected_s,
             _jobs.make_tasks(request),
             self._run_times.spread(request.job_class.name),
         )
-        hope, messages = self._agent_search.search_for_job(now, job)
+        may_find_agents, messages = self._agent_search.search_for_job(now, job)
         self._send_all(messages)
-        refusal = self._scheduler.admission.admit(now, job, hope)
+        refusal = self._scheduler.admission.admit(now, job, may_find_agents)
         if refusal is not None and not self._handover.defer_refusal(
             job, refusal
         ):
             self._finish(now, job, refusal)
             return
         self._notes.admitted(job, len(self._jobs), self._peers.version)
-        self._keep(now, job)
+        self._add_job(now, job)
 
-    def _keep(self, now: float, job: _jobs.Job) -> None:
-        """Hold a job until it is answered and its runs are over."""
+    def _add_job(self, now: float, job: _jobs.Job) -> None:
+        """Store a job until it is answered and its runs are over."""
         self._jobs.add(job)
         self._scheduler.note_arrival(now, job)
         self._next_sweep = min(self._next_sweep, now + _REVIEW_S)
         self._dirty = True
 
-    def _rejoin(
+    def _attach(
         self,
         now: float,
         job: _jobs.Job,
         token: int,
         request: _jobs.LeasedJob,
     ) -> None:
-        """Let a repeat wait for the runs of the first submission."""
+        """Attach a repeated submission to the runs of the first one."""
         job.tokens.append(token)
         if job.closed:
             job.closed = False
@@ -377,9 +384,11 @@
             self._finish(now, job, outcomes.FailedMayHaveRun(reason, origin))
 
     def _answer_all(self, now: float) -> None:
-        """Answer all open jobs: the process is about to end."""
+        """Answer all open jobs before the process ends."""
         for job in self._jobs.open:
-            self._finish(now, job, self._scheduler.admission.give_up(job))
+            self._finish(
+                now, job, self._scheduler.admission.unfinished_outcome(job)
+            )
 
     def _reply(self, tokens: list[int], outcome: outcomes.JobOutcome) -> None:
         for token in tokens:
@@ -392,7 +401,7 @@
     def _finish(
         self, now: float, job: _jobs.Job, outcome: outcomes.JobOutcome
     ) -> None:
-        """Answer a job and stop what is left of it."""
+        """Answer a job's clients and close it."""
         if any(token > 0 for token in job.tokens):
             self._notes.answered(now, job, outcome)
         self._reply(job.tokens, outcome)
@@ -400,7 +409,7 @@
         self._close(job)
 
     def _close(self, job: _jobs.Job) -> None:
-        """Stop a job's runs; it is forgotten once they are over."""
+        """Stop a job's runs; the job is dropped once they are over."""
         job.closed = True
         self._handover.withdraw(job)
         self._runs.stop(job, job.bound())
@@ -425,9 +434,9 @@
                 self._handover.leave(name)
                 self._pool.leave(name, incarnation)
 
-    def _apply_cordons(self, is_news: bool) -> None:
-        """Order nothing in cordoned zones, and again in others."""
-        if not is_news:
+    def _apply_cordons(self, has_changed: bool) -> None:
+        """Apply a new set of cordoned zones to the pool."""
+        if not has_changed:
             return
         self._pool.apply_cordons()
         self._notes.cordoned(self._cordons.state)
@@ -488,12 +497,12 @@
     ) -> None:
         row.ask_seen = ask.number
         if ask.wanted or self._pool.must_answer(row, now):
-            self._asking[row.name] = row
+            self._awaiting_grant[row.name] = row
             self._tick_by = min(self._tick_by, now + _ANSWER_WITHIN_S)
 
     def _grant(self, now: float) -> None:
-        """Answer asks, but those that an order of this moment answers."""
-        for row in self._asking.values():
+        """Answer grant requests that no order of this tick has answered."""
+        for row in self._awaiting_grant.values():
             row.answered_at = now
             if row.ask_answered != row.ask_seen:
                 row.ask_answered = row.ask_seen
@@ -502,7 +511,7 @@
                 self._send(
                     row.name, wire.GrantLease(row.ask_seen, shorten_by_ms)
                 )
-        self._asking.clear()
+        self._awaiting_grant.clear()
 
     def _on_runs_message(
         self, now: float, row: _pool.AgentRow, message: wire.Message
@@ -513,18 +522,20 @@
                     self._runs.released(row, name, run, reason)
             case wire.RunsEnded(name, ends, ask):
                 for end in ends:
-                    self._decide(now, self._runs.ended(now, row, name, end))
+                    self._finish_decided(
+                        now, self._runs.ended(now, row, name, end)
+                    )
                 if ask:
                     self._on_ask(now, row, wire.AskLease(ask, wanted=True))
             case wire.RunsHeld(runs):
                 for decided in self._runs.reconcile(now, row, runs):
-                    self._decide(now, decided)
+                    self._finish_decided(now, decided)
                 row.reconciled = True
 
-    def _decide(
+    def _finish_decided(
         self, now: float, decided: _run_tracker.DecidedJob | None
     ) -> None:
-        """Answer a job that the end of a run decided."""
+        """Answer a job whose outcome was decided by the end of a run."""
         if decided is None:
             return
         job = decided.job
@@ -543,15 +554,15 @@
         self._notes.state_changed(row, state)
         self._pool.set_state(row, state)
         if self._rules.shared_evidence:
-            told = _endpoint_history.failures_for_zone(
+            zone_failures = _endpoint_history.failures_for_zone(
                 state.failing, self._zone
             )
-            self._runs.update_zone_failures(now, row, told)
-        if self._jobs.are_waiting:
+            self._runs.update_zone_failures(now, row, zone_failures)
+        if self._jobs.has_waiting_tasks:
             self._dirty = True
             self._tick_by = now
 
-    # Systems.
+    # Periodic checks.
 
     def _sweep(self, now: float) -> None:
         if self._next_sweep and now - self._next_sweep > _PAUSE_S:
@@ -560,17 +571,17 @@
         self._peers.send_keep_alives(now)
         self._peers.request_newer_config(now)
         self._send_all(self._agent_search.search_if_few(now))
-        self._next_sweep = now + self._sweep_every_s()
+        self._next_sweep = now + self._sweep_interval_s()
         self._pool.note_usable(now)
         for row in self._pool.silent(now):
             row.connected = False
             row.reconciled = False
-            self._notes.silent(now, row)
+            self._notes.stream_closed(now, row)
             self._actions.append(_entry_events.CloseStream(row.name))
         for row in self._pool.expired(now):
             self._notes.expired(now, row)
             for decided in self._runs.reconcile(now, row, ()):
-                self._decide(now, decided)
+                self._finish_decided(now, decided)
         self._runs.start_due_probes(now)
         self._sweep_jobs(now)
         self._handover.schedule_offers()
@@ -579,7 +590,9 @@
     def _sweep_jobs(self, now: float) -> None:
         self._jobs.expire(now)
         for job in self._jobs.open:
-            if now >= job.deadline_at - _GIVE_UP_S:
-                self._finish(now, job, self._scheduler.admission.give_up(job))
+            if now >= job.deadline_at - _DEADLINE_MARGIN_S:
+                self._finish(
+                    now, job, self._scheduler.admission.unfinished_outcome(job)
+                )
         for job, refusal in self._scheduler.review(now):
             self._finish(now, job, refusal)
