--- a/src/ferryledge/logs/__init__.py
+++ b/src/ferryledge/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, bounded in volume."""
+"""Logging as JSON lines at a bounded rate."""
 
 from ferryledge.logs import _budget
 from ferryledge.logs import _decisions
--- a/src/ferryledge/logs/_budget.py
+++ b/src/ferryledge/logs/_budget.py
@@ -1,56 +1,57 @@
-"""Bounds how much is logged, and never waits for the reader."""
+"""A rate limit for log lines, and a sink that never blocks."""
 
 import os
 import typing
 
 import msgspec
 
-#: Lines a second that a process may write on average.
-LINES_A_SECOND = 150.0
-#: Lines that it may write at once after a quiet time.
+#: Average number of lines that a process may write per second.
+LINES_PER_SECOND = 150.0
+#: Number of lines that it may write at once.
 _BURST_LINES = 300.0
-#: Share of the burst that is kept for refusals and failures.
+#: Share of the burst that is reserved for urgent lines.
 _URGENT_SHARE = 0.5
-#: Bytes of lines that wait for a reader that stands still.
-_MOST_PENDING = 64 * 1024
+#: Maximum number of bytes that are buffered for a slow reader.
+_MAX_PENDING_BYTES = 64 * 1024
 
 
 class Budget(msgspec.Struct):
-    """Allows lines at a bounded rate; what went wrong goes first."""
+    """A token bucket for log lines, with a reserve for urgent ones."""
 
-    lines_a_second: float = LINES_A_SECOND
+    lines_per_second: float = LINES_PER_SECOND
     burst: float = _BURST_LINES
+    #: Number of lines refused since :meth:`take_left_out` was called.
     left_out: int = 0
-    _saved: float = _BURST_LINES
-    _at: float = 0.0
+    _tokens: float = _BURST_LINES
+    _refilled_at: float = 0.0
 
     def take(self, now: float, urgent: bool) -> bool:
         """Return whether a line may be written, and count it.
 
         :param now: monotonic seconds
-        :param urgent: whether it tells of a refusal or a failure
+        :param urgent: whether the line reports a refusal or a failure
         """
-        self._saved += (now - self._at) * self.lines_a_second
-        self._saved = min(self.burst, self._saved)
-        self._at = now
-        kept = 0.0 if urgent else _URGENT_SHARE * self.burst
-        if self._saved - 1.0 < kept:
+        self._tokens += (now - self._refilled_at) * self.lines_per_second
+        self._tokens = min(self.burst, self._tokens)
+        self._refilled_at = now
+        reserve = 0.0 if urgent else _URGENT_SHARE * self.burst
+        if self._tokens - 1.0 < reserve:
             self.left_out += 1
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
 
     def take_left_out(self) -> int:
-        """Return how many lines were left out since the last call."""
+        """Return the number of lines refused since the last call."""
         left_out = self.left_out
         self.left_out = 0
         return left_out
 
 
 class NonBlockingSink:
-    """Writes lines to a file descriptor, or drops them.
+    """Writes lines to a file descriptor, and drops them if it is not ready.
 
-    :param descriptor: where to write; it is set not to block
+    :param descriptor: the descriptor, which is switched to non-blocking mode
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -60,9 +61,12 @@
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Write a line as far as the reader takes it now."""
+        """Write a line, or buffer what can't be written now.
+
+        A line that does not fit in the buffer is dropped.
+        """
         data = line.encode()
-        if len(self._pending) + len(data) > _MOST_PENDING:
+        if len(self._pending) + len(data) > _MAX_PENDING_BYTES:
             self.dropped += 1
         else:
             self._pending += data
@@ -71,16 +75,16 @@
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone: nothing is left to tell it to.
+            # The reader closed its end, and there is nowhere to report it.
             self._pending = b""
             self.dropped += 1
             return
         self._pending = self._pending[written:]
 
     def flush(self) -> None:
-        """Do nothing: lines are written as they come."""
+        """Do nothing, since each write goes to the descriptor at once."""
 
 
 def standard_output() -> typing.Any:
-    """Return a sink for standard output that never blocks."""
+    """Return a non-blocking sink for standard output."""
     return NonBlockingSink(1)
