--- a/src/ferryledge/wire/_handover_messages.py
+++ b/src/ferryledge/wire/_handover_messages.py
@@ -13,7 +13,7 @@
 
 
 class AskRoom(_messages.Model, frozen=True, tag="ask-room"):
-    """Ask an entry how much free capacity it has for jobs of others."""
+    """Request for the free capacity that an entry offers to others."""
 
     #: Service of the endpoints that the jobs need.
     service: str
@@ -132,7 +132,7 @@
 
 
 class AskHandedIn(_messages.Model, frozen=True, tag="ask-handed-in"):
-    """Request a grant to go on running jobs of the delegator."""
+    """Request for a grant to go on running jobs of the delegator."""
 
     delegator: str
     number: int
--- a/src/ferryledge/wire/_lease_messages.py
+++ b/src/ferryledge/wire/_lease_messages.py
@@ -101,11 +101,12 @@
 
     DONE = "done"
     FAILED = "failed"
-    #: The entry had it stopped, or the entry's grant expired.
+    #: It was stopped, for example at the entry's request or because the
+    #: entry's grant expired.
     STOPPED = "stopped"
     #: Its lease was not renewed in time.
     LAPSED = "lapsed"
-    #: The endpoint crashed, restarted or could not be reached any more.
+    #: The endpoint stopped, restarted or became unreachable.
     LOST = "lost"
 
 
@@ -210,12 +211,12 @@
     accepting: bool = False
     #: Number of the receiver's last order that ``free`` accounts for.
     orders_seen: int = 0
-    #: Seconds until the endpoint may be removed; 0 if unlimited.
+    #: Seconds until the agent or the endpoint stops; 0 if unlimited.
     remaining_s: float = 0.0
     #: Current run time as a multiple of the normal one.
     slowness: float = 1.0
-    #: Whether the receiver is a primary entry of the agent: it gets the
-    #: changes at once, others less often.
+    #: Whether the receiver is a primary entry of the agent. Primary entries
+    #: get reports of free capacity more often than others.
     is_primary: bool = True
     #: Number of entries that share the endpoint.
     entries: int = 1
@@ -236,7 +237,7 @@
 
 
 class AskLease(_messages.Model, frozen=True, tag="ask-lease"):
-    """Request a grant to go on renewing the leases of the entry's runs.
+    """Request for a grant to go on renewing the leases of an entry's runs.
 
     The answer also shows that the stream works and that all messages sent
     before the request have arrived.
@@ -252,8 +253,9 @@
     """A grant, which starts when the request with this number was sent."""
 
     number: int
-    #: Milliseconds by which the grant is shortened: the age of the oldest
-    #: authorisation by an entry whose handed-over jobs the sender runs.
+    #: Milliseconds by which the grant is shortened, so that runs of jobs
+    #: handed over to the sender end in time after their delegator's last
+    #: grant; 0 without such runs.
     shorten_by_ms: int = 0
 
 
