--- a/src/ferryledge/wire/_lease_messages.py
+++ b/src/ferryledge/wire/_lease_messages.py
@@ -64,8 +64,8 @@
     endpoint: str
     #: Expected run time of one task at normal speed, in seconds.
     expected_s: float = 0.0
-    #: Number of the receiver's last :class:`AskLease` that arrived. The order
-    #: is also a grant, as a :class:`GrantLease` with this number.
+    #: Number of the receiver's last :class:`AskLease` that arrived. The
+    #: order is also a grant, as a :class:`GrantLease` with this number.
     ask_seen: int = 0
     #: The packed specification, for receivers that accept packed texts.
     packed_spec: bytes = b""
