--- a/src/ferryledge/configlog/__init__.py
+++ b/src/ferryledge/configlog/__init__.py
@@ -1,11 +1,12 @@
-"""Configuration through an append-only log.
+"""Configuration that is replicated through an append-only log.
 
-The log's order decides. Every reader folds the same records by the same
-rule, so all readers of the same prefix hold the same version.
+A change takes effect in the order of the log. Every reader applies the same
+records by the same rule, so all readers of the same prefix of the log hold
+the same version.
 """
 
 from ferryledge.configlog import _diff
-from ferryledge.configlog import _earlier
+from ferryledge.configlog import _earlier_names
 from ferryledge.configlog import _entities
 from ferryledge.configlog import _fold
 from ferryledge.configlog import _follower
@@ -17,10 +18,10 @@
 Checkpoint = _entities.Checkpoint
 CheckpointPolicy = _follower.CheckpointPolicy
 Cordon = _entities.Cordon
-EARLIER_KINDS = _earlier.KINDS
-EARLIER_SETTINGS = _earlier.SETTINGS
+EARLIER_KINDS = _earlier_names.KINDS
+EARLIER_SETTINGS = _earlier_names.SETTINGS
 FORMAT = _entities.FORMAT
-EMPTY = _entities.EMPTY
+EMPTY = _entities.EMPTY_SNAPSHOT
 Entity = _entities.Entity
 EntityKey = _entities.EntityKey
 Follower = _follower.Follower
--- a/src/ferryledge/configlog/_diff.py
+++ b/src/ferryledge/configlog/_diff.py
@@ -1,4 +1,4 @@
-"""The change that leads from one configuration to another."""
+"""Computes the change that turns one configuration into another."""
 
 import typing
 
@@ -14,22 +14,28 @@
     at: float,
     delete_missing: bool = True,
 ) -> _entities.Change:
-    """Return the change that makes the current entities the wanted ones.
+    """Return the change that turns the current entities into the wanted ones.
 
     :param current: the configuration in force
-    :param wanted: all entities as they should be
-    :param change_id: unique name of the change
-    :param author: who makes it
-    :param reason: why
-    :param at: seconds since 1970
-    :param delete_missing: delete entities that are not wanted
+    :param wanted: all entities of the new configuration
+    :param change_id: unique id of the change
+    :param author: who makes the change
+    :param reason: why it is made
+    :param at: time of the change in seconds since 1970
+    :param delete_missing: whether entities that ``wanted`` lacks are deleted
     """
-    have = {_entities.key_of(one): one for one in current.entities}
-    want = {_entities.key_of(one): one for one in wanted}
-    puts = tuple(one for key, one in want.items() if have.get(key) != one)
+    current_by_key = {
+        _entities.key_of(entity): entity for entity in current.entities
+    }
+    wanted_by_key = {_entities.key_of(entity): entity for entity in wanted}
+    puts = tuple(
+        entity
+        for key, entity in wanted_by_key.items()
+        if current_by_key.get(key) != entity
+    )
     deletes: typing.Iterable[_entities.EntityKey] = ()
     if delete_missing:
-        deletes = [key for key in have if key not in want]
+        deletes = [key for key in current_by_key if key not in wanted_by_key]
     return _entities.Change(
         id=change_id,
         base=current.version,
--- a/src/ferryledge/configlog/_entities.py
+++ b/src/ferryledge/configlog/_entities.py
@@ -1,17 +1,20 @@
-"""The entities of the configuration, and changes to them."""
+"""Entities of the configuration, and the records that change them.
+
+The log stores changes and checkpoints under the names of their fields.
+"""
 
 import dataclasses
 import typing
 
 import annotated_types
 
-from ferryledge.configlog import _earlier
+from ferryledge.configlog import _earlier_names
 
-#: Accepted changes kept in a snapshot for the audit trail.
+#: Number of accepted changes that a snapshot keeps as its audit trail.
 HISTORY_KEPT = 256
-#: Format of the records that this program writes and understands.
+#: Newest record format that this program reads; it writes this format.
 FORMAT = 1
-#: Most entities in one change.
+#: Maximum number of puts, and of deletes, in one change.
 MAX_ENTITIES = 1000
 
 Name = typing.Annotated[
@@ -27,32 +30,32 @@
     """A kind of task that endpoints run."""
 
     name: Name
-    #: Seconds after which a task's call is ended.
+    #: Seconds after which the call of a task times out.
     timeout_s: typing.Annotated[Positive, annotated_types.Le(600)] = 30.0
-    #: Whether a client may send the same request again.
+    #: Whether a request may run more than once; else it needs a ticket.
     repeatable: bool = True
-    #: Expected memory of one task in MB; 0 is not counted.
+    #: Expected memory of one task in MB; 0 means not accounted for.
     memory_mb: Count = 0
-    #: Name of the policy; empty is none.
+    #: Name of the policy; empty if the service has none.
     policy: typing.Annotated[str, annotated_types.MaxLen(64)] = ""
     kind: typing.Literal["service"] = "service"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """A named group of zones in which tasks may run."""
+    """A named group of availability zones in which tasks may run."""
 
     name: Name
-    zones: typing.Annotated[tuple[Name, ...], _earlier.ZONES]
+    zones: typing.Annotated[tuple[Name, ...], _earlier_names.ZONES]
     kind: typing.Literal["place"] = "place"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """A short program; see :mod:`ferryledge.policy`."""
+    """Expressions over a job's facts; see :mod:`ferryledge.policy`."""
 
     name: Name
-    #: How urgent a job is: a number, 1 is ordinary, larger goes earlier.
+    #: Urgency of a job as a number: 1 is normal, higher runs earlier.
     urgency: Program = ""
     #: Whether a job may run in a zone.
     where: Program = ""
@@ -66,20 +69,23 @@
     """A group of clients with a quota."""
 
     name: Name
-    #: Most slots in use at once in a region; 0 is no limit.
+    #: Maximum number of slots in use in a region; 0 means unlimited.
     quota_slots: Count = 0
-    #: Share of the slots under contention, against other workspaces.
+    #: Share of contended slots, relative to other workspaces.
     weight: Positive = 1.0
-    kind: typing.Annotated[typing.Literal["workspace"], *_earlier.KIND] = (
-        "workspace"
-    )
+    kind: typing.Annotated[
+        typing.Literal["workspace"], *_earlier_names.KIND
+    ] = "workspace"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cordon:
-    """An availability zone that takes no new work; what runs there ends."""
+    """Marks an availability zone that takes no new work.
+
+    Tasks that run there already may finish.
+    """
 
-    #: The zone.
+    #: Name of the zone.
     name: Name
     kind: typing.Literal["cordon"] = "cordon"
 
@@ -89,33 +95,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntityKey:
-    """Names one entity."""
+    """Identifies an entity; names are unique within a kind."""
 
     kind: typing.Annotated[
         typing.Literal["service", "place", "policy", "workspace", "cordon"],
-        *_earlier.KIND,
+        *_earlier_names.KIND,
     ]
     name: Name
 
 
 def key_of(entity: Entity) -> EntityKey:
-    """Return the entity's key."""
+    """Return the key of an entity."""
     return EntityKey(entity.kind, entity.name)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """An operator's change, as it stands in the log."""
+    """An operator's change, as stored in the log."""
 
-    #: Unique; finds the change again when an append's answer was lost.
+    #: Unique; identifies the change if the append's response is lost.
     id: Name
-    #: The version that the operator saw.
+    #: The version that the change is based on.
     base: Count
-    #: Who made it.
+    #: The operator who made the change.
     author: Name
-    #: Why, in the operator's words.
+    #: The operator's reason for the change.
     reason: typing.Annotated[str, annotated_types.MaxLen(500)]
-    #: When, in seconds of the operator's clock since 1970; for reading.
+    #: Seconds since 1970 by the operator's clock; informational only.
     at: float
     puts: typing.Annotated[
         tuple[Entity, ...],
@@ -149,14 +155,14 @@
     """The whole configuration at one version."""
 
     version: int = 0
-    #: Offset of the first record that is not folded in.
+    #: Offset of the first record that the snapshot does not include.
     through: int = 0
     entities: tuple[Entity, ...] = ()
-    #: The last accepted changes, oldest first.
+    #: The most recent accepted changes, oldest first.
     history: tuple[AuditEntry, ...] = ()
 
     def find(self, kind: str, name: str) -> Entity | None:
-        """Return the entity of that kind and name, or none."""
+        """Return the entity of that kind and name, or ``None``."""
         for entity in self.entities:
             if entity.kind == kind and entity.name == name:
                 return entity
@@ -164,18 +170,18 @@
 
     def of_kind(self, kind: str) -> list[Entity]:
         """Return all entities of one kind."""
-        return [one for one in self.entities if one.kind == kind]
+        return [entity for entity in self.entities if entity.kind == kind]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """A snapshot in the log, so that older records may be forgotten."""
+    """A snapshot in the log, so that older records can be deleted."""
 
     snapshot: Snapshot
-    #: Name of the process that appended it.
+    #: Name of the process that appended the checkpoint.
     author: str = ""
     format: int = FORMAT
     record: typing.Literal["checkpoint"] = "checkpoint"
 
 
-EMPTY = Snapshot()
+EMPTY_SNAPSHOT = Snapshot()
--- a/src/ferryledge/configlog/_fold.py
+++ b/src/ferryledge/configlog/_fold.py
@@ -1,4 +1,8 @@
-"""The rule by which every reader judges the log's records."""
+"""The rule by which every reader applies the records of the log.
+
+It depends on nothing but the records and their order, so all readers of the
+same prefix of the log hold the same configuration.
+"""
 
 import dataclasses
 
@@ -23,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotApplied:
-    """The record says nothing new."""
+    """The record is a duplicate, outdated or invalid and has no effect."""
 
     reason: str
 
@@ -34,7 +38,11 @@
 def check_references(
     entities: tuple[_entities.Entity, ...],
 ) -> str:
-    """Return what is wrong between entities, or an empty string."""
+    """Check that every entity that another one names exists.
+
+    :return: a description of the first dangling reference, or an empty
+        string
+    """
     policies = {e.name for e in entities if e.kind == "policy"}
     for entity in entities:
         if not isinstance(entity, _entities.Service):
@@ -47,26 +55,30 @@
     return ""
 
 
-def _apply(
+def _apply_change(
     snapshot: _entities.Snapshot, change: _entities.Change
 ) -> tuple[_entities.Entity, ...]:
-    table = {_entities.key_of(e): e for e in snapshot.entities}
+    by_key = {_entities.key_of(e): e for e in snapshot.entities}
     for key in change.deletes:
-        table.pop(key, None)
+        by_key.pop(key, None)
     for entity in change.puts:
-        table[_entities.key_of(entity)] = entity
-    return tuple(sorted(table.values(), key=lambda one: (one.kind, one.name)))
+        by_key[_entities.key_of(entity)] = entity
+    return tuple(
+        sorted(by_key.values(), key=lambda item: (item.kind, item.name))
+    )
 
 
-def _audit(
+def _audit_entry(
     snapshot: _entities.Snapshot,
     change: _entities.Change,
     offset: int,
 ) -> _entities.AuditEntry:
-    touched = {_entities.key_of(entity) for entity in change.puts}
-    touched.update(change.deletes)
+    changed_keys = {_entities.key_of(entity) for entity in change.puts}
+    changed_keys.update(change.deletes)
     before = tuple(
-        one for one in snapshot.entities if _entities.key_of(one) in touched
+        previous
+        for previous in snapshot.entities
+        if _entities.key_of(previous) in changed_keys
     )
     return _entities.AuditEntry(
         version=snapshot.version + 1,
@@ -83,27 +95,27 @@
 def _fold_change(
     snapshot: _entities.Snapshot, change: _entities.Change, offset: int
 ) -> tuple[_entities.Snapshot, Verdict]:
-    moved = dataclasses.replace(snapshot, through=offset + 1)
+    unchanged = dataclasses.replace(snapshot, through=offset + 1)
     if any(entry.id == change.id for entry in snapshot.history):
-        return moved, NotApplied(f"change {change.id} was accepted before")
+        return unchanged, NotApplied(f"change {change.id} was accepted before")
     if change.base != snapshot.version:
         reason = (
             f"based on version {change.base}, but version "
-            f"{snapshot.version} is in force; look at it and publish again"
+            f"{snapshot.version} is in force; review it and publish again"
         )
-        return moved, Rejected(change.id, reason)
-    entities = _apply(snapshot, change)
+        return unchanged, Rejected(change.id, reason)
+    entities = _apply_change(snapshot, change)
     problem = check_references(entities)
     if problem:
-        return moved, Rejected(change.id, problem)
-    history = (*snapshot.history, _audit(snapshot, change, offset))
-    folded = _entities.Snapshot(
+        return unchanged, Rejected(change.id, problem)
+    history = (*snapshot.history, _audit_entry(snapshot, change, offset))
+    changed = _entities.Snapshot(
         version=snapshot.version + 1,
         through=offset + 1,
         entities=entities,
         history=history[-_entities.HISTORY_KEPT :],
     )
-    return folded, Accepted(change.id, folded.version)
+    return changed, Accepted(change.id, changed.version)
 
 
 def _fold_checkpoint(
@@ -112,10 +124,10 @@
     offset: int,
 ) -> tuple[_entities.Snapshot, Verdict]:
     if checkpoint.snapshot.version > snapshot.version:
-        taken = dataclasses.replace(checkpoint.snapshot, through=offset + 1)
-        return taken, Accepted("checkpoint", taken.version)
-    moved = dataclasses.replace(snapshot, through=offset + 1)
-    return moved, NotApplied("checkpoint is not newer")
+        newer = dataclasses.replace(checkpoint.snapshot, through=offset + 1)
+        return newer, Accepted("checkpoint", newer.version)
+    unchanged = dataclasses.replace(snapshot, through=offset + 1)
+    return unchanged, NotApplied("checkpoint is not newer")
 
 
 def fold(
@@ -125,12 +137,12 @@
 ) -> tuple[_entities.Snapshot, Verdict]:
     """Apply one record of the log.
 
-    The version never falls.
+    The version of the result is never lower than that of ``snapshot``.
 
     :param snapshot: the state before the record
     :param record: the decoded record
     :param offset: the record's offset in the log
-    :return: the state after it, and what became of the record
+    :return: the state after the record, and whether the record took effect
     """
     match record:
         case _entities.Change():
--- a/src/ferryledge/configlog/_follower.py
+++ b/src/ferryledge/configlog/_follower.py
@@ -1,8 +1,9 @@
-"""Follows the log from page to page, free of sockets and clocks.
+"""Follows the log page by page, without sockets or clocks.
 
-A reader starts from the first record if the log still has it, else from
-the newest checkpoint whose own position the log still has. The version
-never falls, whatever the log shows.
+A reader starts from the first record of the log if that still exists.
+Otherwise it starts from a checkpoint, provided that the log still holds all
+records that the checkpoint does not include. The version never decreases,
+even if the log is truncated or replaced.
 """
 
 import dataclasses
@@ -15,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One record as read."""
+    """An encoded record and its position in the log."""
 
     offset: int
     data: bytes
@@ -23,29 +24,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogPage:
-    """An answer of the log service."""
+    """A response of the log service to a read."""
 
-    #: Differs when the log was replaced by another.
+    #: Identity of the log; it changes when the log is replaced.
     log_id: str
-    #: Offset of the oldest record that is kept.
+    #: Offset of the oldest record that the log still holds.
     first: int
-    #: Offset that the next append gets.
+    #: Offset of the next append.
     end: int
     records: tuple[LogRecord, ...]
 
 
 class FollowerState(enum.StrEnum):
-    """How far the follower may be trusted."""
+    """How the follower's snapshot relates to the log."""
 
-    #: No configuration is known yet.
+    #: No record has been applied yet.
     EMPTY = "empty"
-    #: Looking for a checkpoint to start from.
+    #: Records are missing; the follower is looking for a checkpoint.
     SEEKING = "seeking"
-    #: The state is that of the log up to the position.
+    #: The snapshot includes all records before the position.
     FOLLOWING = "following"
-    #: A record of a newer format stands at the position.
+    #: The record at the position has a newer format.
     NEEDS_UPGRADE = "needs_upgrade"
-    #: The log was replaced by one that lacks our records.
+    #: The log was replaced by one that lacks records already applied.
     REPLACED = "replaced"
 
 
@@ -53,27 +54,28 @@
 class CheckpointPolicy:
     """When a checkpoint is due."""
 
-    #: Records behind the newest checkpoint.
+    #: Number of records since the newest checkpoint.
     max_records: int = 200
-    #: Seconds since the newest checkpoint, if anything came since.
+    #: Seconds since the newest checkpoint, if records followed it.
     max_age_s: float = 600.0
 
 
 class Follower:
-    """Folds the log's pages into a snapshot.
+    """Applies pages of the log to a snapshot.
 
-    :param policy: when to call for a checkpoint
+    :param policy: when a checkpoint is due; defaults to
+        ``CheckpointPolicy()``
     """
 
     def __init__(self, policy: CheckpointPolicy | None = None) -> None:
         self._policy = policy or CheckpointPolicy()
-        self._snapshot = _entities.EMPTY
+        self._snapshot = _entities.EMPTY_SNAPSHOT
         self._state = FollowerState.EMPTY
         self._position = 0
         self._end = 0
         self._log_id = ""
         self._checkpoint_offset = -1
-        self._checkpoint_at: float | None = None
+        self._checkpoint_time: float | None = None
 
     @property
     def snapshot(self) -> _entities.Snapshot:
@@ -82,7 +84,7 @@
 
     @property
     def state(self) -> FollowerState:
-        """How far the snapshot may be trusted."""
+        """How the snapshot relates to the log."""
         return self._state
 
     @property
@@ -92,13 +94,14 @@
 
     @property
     def lag(self) -> int:
-        """Records that were in the log but not yet folded."""
+        """Number of records in the log that are not yet applied."""
         return max(0, self._end - self._position)
 
     def adopt(self, snapshot: _entities.Snapshot) -> bool:
-        """Take a peer's snapshot if it is newer.
+        """Replace the snapshot by that of a peer if the peer's is newer.
 
-        :return: whether it was taken
+        :param snapshot: the peer's snapshot
+        :return: whether the snapshot was replaced
         """
         if snapshot.version <= self._snapshot.version:
             return False
@@ -109,19 +112,19 @@
         return True
 
     def accept(self, page: LogPage, now: float) -> list[_fold.Verdict]:
-        """Fold one page.
+        """Apply the records of one page.
 
-        :param page: as read from :attr:`position`
-        :param now: monotonic seconds, for the age of checkpoints
-        :return: what became of each record of the page
+        :param page: a page read from :attr:`position`
+        :param now: monotonic seconds, for the age of the newest checkpoint
+        :return: the verdict on each record that was processed
         """
         self._end = page.end
-        if self._checkpoint_at is None:
-            self._checkpoint_at = now
-        if not self._same_log(page):
+        if self._checkpoint_time is None:
+            self._checkpoint_time = now
+        if not self._continues_log(page):
             return []
-        if self._is_gap(page):
-            return self._seek(page, now)
+        if self._needs_checkpoint(page):
+            return self._start_from_checkpoint(page, now)
         verdicts = []
         for record in page.records:
             if record.offset < self._position:
@@ -129,22 +132,25 @@
             if record.offset > self._position:
                 self._state = FollowerState.SEEKING
                 break
-            verdict = self._fold_one(record, now)
+            verdict = self._fold_record(record, now)
             if verdict is None:
                 break
             verdicts.append(verdict)
         return verdicts
 
     def checkpoint_due(self, now: float) -> bool:
-        """Return whether some entry should append a checkpoint now."""
+        """Return whether an entry should append a checkpoint.
+
+        :param now: monotonic seconds
+        """
         if self._state is not FollowerState.FOLLOWING or self.lag:
             return False
-        behind = self._position - 1 - self._checkpoint_offset
-        if behind <= 0 or not self._snapshot.version:
+        records_since = self._position - 1 - self._checkpoint_offset
+        if records_since <= 0 or not self._snapshot.version:
             return False
-        started = now if self._checkpoint_at is None else self._checkpoint_at
-        old = now - started >= self._policy.max_age_s
-        return behind >= self._policy.max_records or old
+        since = now if self._checkpoint_time is None else self._checkpoint_time
+        is_old = now - since >= self._policy.max_age_s
+        return records_since >= self._policy.max_records or is_old
 
     def checkpoint(self, author: str) -> _entities.Checkpoint:
         """Return the checkpoint to append.
@@ -153,22 +159,28 @@
         """
         return _entities.Checkpoint(self._snapshot, author)
 
-    def _same_log(self, page: LogPage) -> bool:
+    def _continues_log(self, page: LogPage) -> bool:
+        """Return whether the page can be applied at the current position.
+
+        If the log was replaced or truncated, the position is set to its
+        first record.
+        """
         if not self._log_id:
             self._log_id = page.log_id
         replaced = page.log_id != self._log_id
         if not replaced and page.end >= self._position:
             return True
         if page.first == 0 and page.end < self._snapshot.through:
-            # A log that lacks our records must not take us back; it is
-            # followed again once a checkpoint in it is newer.
+            # Applying a log that lacks known records would revert changes.
+            # A checkpoint that is no older than the snapshot ends this state.
             self._state = FollowerState.REPLACED
         self._log_id = page.log_id
         self._position = page.first
         self._checkpoint_offset = -1
         return not replaced and not page.records
 
-    def _is_gap(self, page: LogPage) -> bool:
+    def _needs_checkpoint(self, page: LogPage) -> bool:
+        """Return whether records between snapshot and page are missing."""
         if self._state in (FollowerState.SEEKING, FollowerState.REPLACED):
             return True
         if page.first <= self._position:
@@ -176,8 +188,10 @@
         self._state = FollowerState.SEEKING
         return True
 
-    def _seek(self, page: LogPage, now: float) -> list[_fold.Verdict]:
-        """Look for a checkpoint from which to go on."""
+    def _start_from_checkpoint(
+        self, page: LogPage, now: float
+    ) -> list[_fold.Verdict]:
+        """Continue from the first usable checkpoint of the page, if any."""
         if self._position < page.first:
             self._position = page.first
         for record in page.records:
@@ -191,13 +205,20 @@
             self._snapshot = snapshot
             self._position = snapshot.through
             self._state = FollowerState.FOLLOWING
-            self._note_checkpoint(record.offset, now)
+            self._update_checkpoint_position(record.offset, now)
             return [_fold.Accepted("checkpoint", snapshot.version)]
         return []
 
     def _usable_checkpoint(
         self, record: LogRecord, first: int
     ) -> _entities.Checkpoint | None:
+        """Decode a checkpoint if the log holds all records to follow it.
+
+        :param record: any record of the log
+        :param first: offset of the oldest record that the log still holds
+        :return: the checkpoint, or ``None`` if the record is none that can
+            be used
+        """
         try:
             decoded = _records.decode_record(record.data)
         except _records.InvalidRecordError:
@@ -207,7 +228,10 @@
         through = decoded.snapshot.through
         return decoded if first <= through <= record.offset else None
 
-    def _fold_one(self, record: LogRecord, now: float) -> _fold.Verdict | None:
+    def _fold_record(
+        self, record: LogRecord, now: float
+    ) -> _fold.Verdict | None:
+        """Apply one record; return ``None`` if its format is newer."""
         try:
             decoded = _records.decode_record(record.data)
         except _records.InvalidRecordError as exc:
@@ -218,7 +242,7 @@
             self._state = FollowerState.FOLLOWING
             return _fold.NotApplied(f"invalid record: {exc}")
         if isinstance(decoded, _entities.Checkpoint):
-            self._note_checkpoint(record.offset, now)
+            self._update_checkpoint_position(record.offset, now)
         self._snapshot, verdict = _fold.fold(
             self._snapshot, decoded, record.offset
         )
@@ -226,6 +250,6 @@
         self._state = FollowerState.FOLLOWING
         return verdict
 
-    def _note_checkpoint(self, offset: int, now: float) -> None:
+    def _update_checkpoint_position(self, offset: int, now: float) -> None:
         self._checkpoint_offset = max(self._checkpoint_offset, offset)
-        self._checkpoint_at = now
+        self._checkpoint_time = now
--- a/src/ferryledge/configlog/_records.py
+++ b/src/ferryledge/configlog/_records.py
@@ -1,4 +1,4 @@
-"""Validated decoding of the log's records."""
+"""Encodes and decodes the records of the log as validated JSON."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 from ferryledge.configlog import _entities
 
-#: Largest record in bytes.
+#: Maximum size of a record.
 MAX_RECORD_BYTES = 4 * 1024 * 1024
 
 _Record = typing.Annotated[
@@ -20,36 +20,36 @@
 
 
 class InvalidRecordError(Exception):
-    """The record can't be understood.
+    """A record or snapshot can't be decoded.
 
     :param message: what is wrong
-    :param newer: whether a newer program may understand it
+    :param newer: whether the record has a newer format than this program
     """
 
     def __init__(self, message: str, newer: bool = False) -> None:
         super().__init__(message)
-        #: Whether a newer program may understand the record.
+        #: Whether the record has a newer format than this program.
         self.newer = newer
 
 
 class _Envelope(pydantic.BaseModel):
-    """The fields that every format has."""
+    """The fields that records of all formats have."""
 
     format: int = _entities.FORMAT
 
 
-def _explain(error: pydantic.ValidationError) -> str:
+def _describe(error: pydantic.ValidationError) -> str:
     first = error.errors(include_url=False, include_input=False)[0]
-    where = ".".join(str(part) for part in first["loc"])
-    return f"{where or 'record'}: {first['msg']}"
+    location = ".".join(str(part) for part in first["loc"])
+    return f"{location or 'record'}: {first['msg']}"
 
 
 def decode_record(
     data: bytes,
 ) -> _entities.Change | _entities.Checkpoint:
-    """Return the record that the bytes hold.
+    """Decode a record of the log.
 
-    :raises InvalidRecordError: if they hold none
+    :raises InvalidRecordError: if the bytes are not a valid record
     """
     if len(data) > MAX_RECORD_BYTES:
         raise InvalidRecordError(f"larger than {MAX_RECORD_BYTES} bytes")
@@ -63,27 +63,27 @@
             )
         return _RECORDS.validate_json(data)
     except pydantic.ValidationError as exc:
-        raise InvalidRecordError(_explain(exc)) from exc
+        raise InvalidRecordError(_describe(exc)) from exc
 
 
 def encode_record(
     record: _entities.Change | _entities.Checkpoint,
 ) -> bytes:
-    """Return the record's bytes for the log."""
+    """Encode a record for the log."""
     return _RECORDS.dump_json(record, by_alias=True)
 
 
 def decode_snapshot(data: bytes) -> _entities.Snapshot:
-    """Return the snapshot that a peer or file holds.
+    """Decode a snapshot that a peer sent or that a file holds.
 
-    :raises InvalidRecordError: if it holds none
+    :raises InvalidRecordError: if the bytes are not a valid snapshot
     """
     try:
         return _SNAPSHOTS.validate_json(data)
     except pydantic.ValidationError as exc:
-        raise InvalidRecordError(_explain(exc)) from exc
+        raise InvalidRecordError(_describe(exc)) from exc
 
 
 def encode_snapshot(snapshot: _entities.Snapshot) -> bytes:
-    """Return the snapshot as JSON text."""
+    """Encode a snapshot as JSON."""
     return _SNAPSHOTS.dump_json(snapshot, by_alias=True)
--- a/src/ferryledge/configlog/tests/test_earlier.py
+++ b/src/ferryledge/configlog/tests/test_earlier_names.py
@@ -1,4 +1,4 @@
-"""Records under the names of earlier versions, which share the log."""
+"""Records are compatible with earlier versions that read the same log."""
 
 import json
 
@@ -15,31 +15,31 @@
 
 
 @pytest.fixture
-def written():
+def encoded():
     return json.loads(configlog.encode_record(CHANGE))
 
 
-def test_a_record_keeps_the_names_that_earlier_versions_read(written):
-    place, workspace = written["puts"]
+def test_record_is_written_under_the_earlier_names(encoded):
+    place, workspace = encoded["puts"]
     assert place["halls"] == ["cork-1", "cork-2"]
     assert workspace["kind"] == "team"
-    assert written["deletes"] == [{"kind": "team", "name": "shop"}]
+    assert encoded["deletes"] == [{"kind": "team", "name": "shop"}]
 
 
-def test_a_record_is_read_as_it_was_written():
+def test_record_is_unchanged_by_encoding_and_decoding():
     data = configlog.encode_record(CHANGE)
     assert configlog.decode_record(data) == CHANGE
 
 
-def test_a_record_is_read_under_the_names_of_today(written):
-    place, workspace = written["puts"]
+def test_record_is_read_under_the_current_names(encoded):
+    place, workspace = encoded["puts"]
     place["zones"] = place.pop("halls")
     workspace["kind"] = "workspace"
-    written["deletes"][0]["kind"] = "workspace"
-    assert configlog.decode_record(json.dumps(written).encode()) == CHANGE
+    encoded["deletes"][0]["kind"] = "workspace"
+    assert configlog.decode_record(json.dumps(encoded).encode()) == CHANGE
 
 
-def test_a_snapshot_keeps_the_earlier_names():
+def test_snapshot_is_written_under_the_earlier_names():
     snapshot = configlog.Snapshot(1, 1, (PLACE, WORKSPACE))
     data = configlog.encode_snapshot(snapshot)
     assert b'"kind":"team"' in data
--- a/src/ferryledge/configlog/tests/test_fold.py
+++ b/src/ferryledge/configlog/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""Every reader judges the log's records alike, and never goes back."""
+"""All readers of a log reach the same version, which never decreases."""
 
 import dataclasses
 
@@ -15,13 +15,13 @@
 
 
 def page(records, first=0, log_id="log", start=0):
-    data = [configlog.encode_record(one) for one in records]
+    encoded = [configlog.encode_record(record) for record in records]
     kept = tuple(
-        configlog.LogRecord(offset, one)
-        for offset, one in enumerate(data)
+        configlog.LogRecord(offset, data)
+        for offset, data in enumerate(encoded)
         if offset >= max(first, start)
     )
-    return configlog.LogPage(log_id, first, len(data), kept)
+    return configlog.LogPage(log_id, first, len(encoded), kept)
 
 
 def follow(records, **options):
@@ -30,7 +30,7 @@
     return follower, verdicts
 
 
-def test_the_first_of_two_racing_operators_wins():
+def test_first_of_two_concurrent_changes_wins():
     follower, verdicts = follow([change("a", 0), change("b", 0)])
     assert verdicts[0] == configlog.Accepted("a", 1)
     assert isinstance(verdicts[1], configlog.Rejected)
@@ -38,19 +38,19 @@
     assert follower.snapshot.version == 1
 
 
-def test_a_repeated_append_is_applied_once():
+def test_repeated_append_is_applied_once():
     follower, verdicts = follow([change("a", 0), change("a", 0)])
     assert isinstance(verdicts[1], configlog.NotApplied)
     assert follower.snapshot.version == 1
 
 
-def test_a_service_may_not_name_a_missing_policy():
+def test_service_with_a_missing_policy_is_rejected():
     service = configlog.Service("s", policy="none")
     _, verdicts = follow([change("a", 0, puts=(service,))])
     assert "does not exist" in verdicts[0].reason
 
 
-def test_the_audit_trail_shows_before_and_after():
+def test_audit_trail_holds_entities_before_and_after():
     old, new = configlog.Workspace("t", 1), configlog.Workspace("t", 2)
     key = configlog.EntityKey("workspace", "t")
     follower, _ = follow(
@@ -61,53 +61,53 @@
         ]
     )
     history = follower.snapshot.history
-    assert [(one.before, one.after) for one in history] == [
+    assert [(entry.before, entry.after) for entry in history] == [
         ((), (old,)),
         ((old,), (new,)),
         ((new,), ()),
     ]
-    assert [one.offset for one in history] == [0, 1, 2]
+    assert [entry.offset for entry in history] == [0, 1, 2]
 
 
-def test_a_reader_starts_from_a_checkpoint_when_the_log_forgot():
-    full, _ = follow([change("a", 0), change("b", 1)])
+def test_reader_starts_from_a_checkpoint_if_records_were_deleted():
+    source, _ = follow([change("a", 0), change("b", 1)])
     records = [
         change("a", 0),
         change("b", 1),
-        full.checkpoint("entry"),
+        source.checkpoint("entry"),
         change("c", 2),
     ]
-    late = configlog.Follower()
-    late.accept(page(records, first=2), 0.0)
-    late.accept(page(records, first=2, start=late.position), 0.0)
-    whole, _ = follow(records)
-    assert late.snapshot == whole.snapshot
-    assert late.snapshot.version == 3
+    joined = configlog.Follower()
+    joined.accept(page(records, first=2), 0.0)
+    joined.accept(page(records, first=2, start=joined.position), 0.0)
+    complete, _ = follow(records)
+    assert joined.snapshot == complete.snapshot
+    assert joined.snapshot.version == 3
 
 
-def test_a_checkpoint_that_lost_its_own_records_is_not_used():
-    full, _ = follow([change("a", 0)])
-    records = [change("a", 0), change("b", 1), full.checkpoint("slow")]
-    late, _ = follow(records, first=2)
-    assert late.snapshot.version == 0
-    assert late.state is configlog.FollowerState.SEEKING
+def test_checkpoint_is_not_used_if_records_after_it_were_deleted():
+    source, _ = follow([change("a", 0)])
+    records = [change("a", 0), change("b", 1), source.checkpoint("slow")]
+    joined, _ = follow(records, first=2)
+    assert joined.snapshot.version == 0
+    assert joined.state is configlog.FollowerState.SEEKING
 
 
-def test_an_older_checkpoint_changes_nothing():
+def test_older_checkpoint_has_no_effect():
     old, _ = follow([change("a", 0)])
     records = [change("a", 0), change("b", 1), old.checkpoint("slow")]
     follower, _ = follow(records)
     assert follower.snapshot.version == 2
 
 
-def test_a_replaced_log_does_not_take_the_configuration_back():
+def test_replaced_log_does_not_revert_the_configuration():
     follower, _ = follow([change("a", 0), change("b", 1)])
     follower.accept(page([change("x", 0)], log_id="other"), 1.0)
     assert follower.snapshot.version == 2
     assert follower.state is configlog.FollowerState.REPLACED
 
 
-def test_a_replaced_log_is_followed_again_from_a_newer_checkpoint():
+def test_replaced_log_is_followed_again_from_a_checkpoint():
     follower, _ = follow([change("a", 0), change("b", 1)])
     records = [
         dataclasses.replace(
@@ -123,7 +123,7 @@
     assert follower.snapshot.version == 3
 
 
-def test_a_record_of_a_newer_format_stops_the_reader():
+def test_record_of_a_newer_format_stops_the_reader():
     newer = dataclasses.replace(change("b", 1), format=configlog.FORMAT + 1)
     follower, _ = follow([change("a", 0), newer, change("c", 1)])
     assert follower.snapshot.version == 1
@@ -131,7 +131,7 @@
     assert follower.state is configlog.FollowerState.NEEDS_UPGRADE
 
 
-def test_a_peers_older_snapshot_is_not_taken():
+def test_older_snapshot_of_a_peer_is_not_adopted():
     older, _ = follow([change("a", 0)])
     newer, _ = follow([change("a", 0), change("b", 1)])
     assert not newer.adopt(older.snapshot)
@@ -139,7 +139,7 @@
     assert older.snapshot.version == 2
 
 
-def test_a_checkpoint_becomes_due_by_count_and_by_age():
+def test_checkpoint_becomes_due_by_count_and_by_age():
     policy = configlog.CheckpointPolicy(max_records=2, max_age_s=10.0)
     follower = configlog.Follower(policy)
     follower.accept(page([change("a", 0)]), 0.0)
@@ -164,11 +164,11 @@
         b"\xff\xfe",
     ],
 )
-def test_an_invalid_record_is_skipped_and_said(data):
-    good = configlog.encode_record(change("a", 0))
+def test_invalid_record_is_skipped_and_reported(data):
+    valid = configlog.encode_record(change("a", 0))
     records = (
         configlog.LogRecord(0, data),
-        configlog.LogRecord(1, good),
+        configlog.LogRecord(1, valid),
     )
     follower = configlog.Follower()
     verdicts = follower.accept(configlog.LogPage("l", 0, 2, records), 0.0)
@@ -178,33 +178,34 @@
 
 @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
 @hypothesis.given(st.binary(max_size=300) | st.text().map(str.encode))
-def test_any_bytes_in_the_log_do_no_harm(data):
+def test_decoding_any_bytes_raises_no_other_error(data):
     try:
         configlog.decode_record(data)
     except configlog.InvalidRecordError as exc:
         assert str(exc)
 
 
-#: A log's history as (author's number, base offset) draws.
+#: For each change of a log: a number for its id, and how far its base
+#: version is from the current one.
 HISTORIES = st.lists(st.tuples(st.integers(0, 9), st.integers(-1, 1)))
 
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
 @hypothesis.given(HISTORIES, st.integers(1, 7))
-def test_readers_agree_however_they_page(draws, size):
+def test_readers_agree_for_any_page_size(changes, size):
     records = []
     version = 0
-    for number, (name, error) in enumerate(draws):
+    for number, (name, error) in enumerate(changes):
         base = max(0, version + error)
         records.append(change(f"c{number}-{name}", base))
         version += base == version
-    whole, _ = follow(records)
+    complete, _ = follow(records)
     paged = configlog.Follower()
     versions = [0]
     while paged.position < len(records):
-        part = page(records, start=paged.position)
-        cut = dataclasses.replace(part, records=part.records[:size])
-        paged.accept(cut, 0.0)
+        rest = page(records, start=paged.position)
+        short = dataclasses.replace(rest, records=rest.records[:size])
+        paged.accept(short, 0.0)
         versions.append(paged.snapshot.version)
-    assert paged.snapshot == whole.snapshot
+    assert paged.snapshot == complete.snapshot
     assert versions == sorted(versions)
