--- a/src/ferryledge/runtime/__init__.py
+++ b/src/ferryledge/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""What the daemons share: settings, logs, metrics, streams, HTTP."""
+"""Shared parts of the daemons: settings, logs, metrics, streams, HTTP."""
 
 from ferryledge import logs
 from ferryledge import net
--- a/src/ferryledge/runtime/_metrics.py
+++ b/src/ferryledge/runtime/_metrics.py
@@ -1,4 +1,8 @@
-"""Metrics by OpenTelemetry, rendered for a scraper without a server."""
+"""OpenTelemetry metrics, rendered as Prometheus text.
+
+The daemons serve this text on their own HTTP port; there is no separate port
+for an exporter.
+"""
 
 from collections import abc
 
@@ -11,9 +15,9 @@
 
 
 class Metrics:
-    """The meters of one process.
+    """The metrics of one process.
 
-    :param role: the process's role, the prefix of all names
+    :param role: role of the process, the prefix of all metric names
     """
 
     def __init__(self, role: str) -> None:
@@ -24,7 +28,7 @@
         self._meter = self._provider.get_meter("ferryledge")
 
     def counter(self, name: str, description: str) -> otel.Counter:
-        """Return a counter."""
+        """Create a counter."""
         return self._meter.create_counter(
             f"{self._role}.{name}", description=description
         )
@@ -32,7 +36,7 @@
     def histogram(
         self, name: str, unit: str, description: str
     ) -> otel.Histogram:
-        """Return a histogram."""
+        """Create a histogram."""
         return self._meter.create_histogram(
             f"{self._role}.{name}", unit=unit, description=description
         )
@@ -43,7 +47,12 @@
         description: str,
         read: abc.Callable[[], float],
     ) -> None:
-        """Add a gauge that is read when it is scraped."""
+        """Create a gauge whose value is read at each scrape.
+
+        :param name: name of the metric without the role
+        :param description: help text of the metric
+        :param read: returns the current value
+        """
 
         def observe(
             options: otel.CallbackOptions,
@@ -55,9 +64,9 @@
         )
 
     def render(self) -> bytes:
-        """Return all metrics as text for a scraper."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest()
 
     def close(self) -> None:
-        """Stop collecting."""
+        """Stop the collection of metrics."""
         self._provider.shutdown()
--- a/src/ferryledge/runtime/_platform.py
+++ b/src/ferryledge/runtime/_platform.py
@@ -1,4 +1,4 @@
-"""A client of the platform's log service and list of VMs."""
+"""HTTP client of the platform's log service and VM list."""
 
 import enum
 
@@ -8,17 +8,17 @@
 from ferryledge import configlog
 from ferryledge import net
 
-_STREAM = "ferryledge"
-_READ_S = 5.0
-_MAX_RECORDS = 500
-_CONNECTIONS = 4
+_LOG_NAME = "ferryledge"
+_CALL_TIMEOUT_S = 5.0
+_MAX_PAGE_RECORDS = 500
+_MAX_CONNECTIONS = 4
 
 
 class PlatformError(Exception):
-    """The platform's service did not answer, or refused.
+    """The platform did not respond, or responded with an error.
 
     :param step: the call that failed
-    :param peer: the service's address
+    :param peer: base address of the platform
     :param detail: what went wrong
     """
 
@@ -26,23 +26,23 @@
         super().__init__(f"{step} at {peer}: {detail}")
         #: The call that failed.
         self.step = step
-        #: The service's address.
+        #: Base address of the platform.
         self.peer = peer
 
 
 class AppendLostError(PlatformError):
-    """The append's answer was lost: it may have taken effect."""
+    """An append got no valid response; the record may be in the log."""
 
 
 class VmRole(enum.StrEnum):
-    """What runs on a VM."""
+    """The daemon that runs on a VM."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class VmState(enum.StrEnum):
-    """How the platform sees a VM."""
+    """State of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -55,7 +55,7 @@
     role: VmRole
     host: str
     port: int
-    #: ``hall`` is its earlier name.
+    #: Availability zone; the list may use the earlier name ``hall``.
     zone: str = pydantic.Field(
         validation_alias=pydantic.AliasChoices("zone", "hall")
     )
@@ -83,59 +83,63 @@
 
 
 class PlatformClient:
-    """Talks HTTP to the platform.
+    """Calls the platform over HTTP.
 
     :param url: base address, such as ``http://127.0.0.1:7000``
     """
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
-        self._caller = net.HttpCaller(self._url, _CONNECTIONS)
+        self._caller = net.HttpCaller(self._url, _MAX_CONNECTIONS)
 
     async def close(self) -> None:
         """Close all connections."""
         await self._caller.close()
 
     async def read(self, position: int, wait_s: float) -> configlog.LogPage:
-        """Return the records from a position on.
+        """Read a page of the log.
 
-        :param position: offset of the first record wanted
-        :param wait_s: seconds to wait for a record if there is none
-        :raises PlatformError: if the log does not answer
+        :param position: offset of the first record to read
+        :param wait_s: seconds to wait for a record if there is none yet
+        :raises PlatformError: if the platform sends no valid response
         """
         path = (
-            f"/v1/log/{_STREAM}?from={position}&limit={_MAX_RECORDS}"
+            f"/v1/log/{_LOG_NAME}?from={position}&limit={_MAX_PAGE_RECORDS}"
             f"&wait_ms={int(wait_s * 1000)}"
         )
-        data = await self._call("read", "GET", path, b"", wait_s + _READ_S)
+        data = await self._call(
+            "read", "GET", path, b"", wait_s + _CALL_TIMEOUT_S
+        )
         try:
             page = _PageModel.model_validate_json(data)
         except pydantic.ValidationError as exc:
             raise PlatformError("read", self._url, str(exc)) from exc
         records = tuple(
-            configlog.LogRecord(one.offset, one.data.encode())
-            for one in page.records
+            configlog.LogRecord(record.offset, record.data.encode())
+            for record in page.records
         )
         return configlog.LogPage(page.log_id, page.first, page.end, records)
 
     async def append(self, record: bytes) -> int:
         """Append a record and return its offset.
 
-        :raises AppendLostError: if it may or may not be in the log
+        :raises AppendLostError: if the record may or may not be in the log
         """
-        path = f"/v1/log/{_STREAM}"
+        path = f"/v1/log/{_LOG_NAME}"
         try:
-            data = await self._call("append", "POST", path, record, _READ_S)
+            data = await self._call(
+                "append", "POST", path, record, _CALL_TIMEOUT_S
+            )
             return _AppendModel.model_validate_json(data).offset
         except (PlatformError, pydantic.ValidationError) as exc:
             raise AppendLostError("append", self._url, str(exc)) from exc
 
     async def vms(self) -> list[VmRecord]:
-        """Return the platform's list of VMs; it lags.
+        """Return the platform's list of VMs, which may be out of date.
 
-        :raises PlatformError: if the list can't be had
+        :raises PlatformError: if the platform sends no valid response
         """
-        data = await self._call("vms", "GET", "/v1/vms", b"", _READ_S)
+        data = await self._call("vms", "GET", "/v1/vms", b"", _CALL_TIMEOUT_S)
         try:
             return _VM_LIST.validate_json(data)
         except pydantic.ValidationError as exc:
--- a/src/ferryledge/runtime/_settings.py
+++ b/src/ferryledge/runtime/_settings.py
@@ -1,7 +1,7 @@
-"""Settings from flags and ``FERRYLEDGE_*`` variables, checked at start.
+"""Settings from flags and ``FERRYLEDGE_*`` variables, validated at start.
 
-A model's fields become the command's options, so that a setting is written
-down once: its name, default, allowed values and help text.
+The options of a command are generated from the fields of a model, which
+define the name, default, allowed values and help text of each setting.
 """
 
 from collections import abc
@@ -12,7 +12,7 @@
 import pydantic
 
 ENV_PREFIX = "FERRYLEDGE_"
-#: Exit code for a wrong setting.
+#: Exit code for an invalid setting.
 EXIT_USAGE = 2
 
 Port = typing.Annotated[int, pydantic.Field(ge=0, le=65535)]
@@ -23,7 +23,7 @@
 
 
 class ProcessSettings(pydantic.BaseModel):
-    """Settings that every daemon has."""
+    """Settings that all daemons have in common."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -59,14 +59,14 @@
 
     @pydantic.field_validator("peer_keys")
     @classmethod
-    def _long_enough(cls, value: str) -> str:
+    def _check_key_length(cls, value: str) -> str:
         if any(len(key.strip()) < 16 for key in value.split(",")):
             raise ValueError("each key needs at least 16 characters")
         return value
 
     @property
     def keys(self) -> tuple[str, ...]:
-        """The accepted keys; the first is used."""
+        """The accepted keys; the first authenticates outgoing connections."""
         return tuple(key.strip() for key in self.peer_keys.split(","))
 
 
@@ -76,29 +76,29 @@
     help_text = field.description or ""
     if not field.is_required() and field.default is not None:
         help_text += f"  [default: {field.default}]"
-    names = _names(name, field)
+    names = _setting_names(name, field)
     return click.option(
-        *("--" + one.replace("_", "-") for one in names),
+        *("--" + alias.replace("_", "-") for alias in names),
         name,
-        envvar=[ENV_PREFIX + one.upper() for one in names],
+        envvar=[ENV_PREFIX + alias.upper() for alias in names],
         show_envvar=True,
         help=help_text,
         metavar="VALUE",
     )
 
 
-def _names(name: str, field: pydantic.fields.FieldInfo) -> list[str]:
-    """Return a setting's name and its earlier ones."""
+def _setting_names(name: str, field: pydantic.fields.FieldInfo) -> list[str]:
+    """Return the current name of a setting and its earlier names."""
     match field.validation_alias:
         case pydantic.AliasChoices(choices=choices):
-            return [one for one in choices if isinstance(one, str)]
+            return [choice for choice in choices if isinstance(choice, str)]
     return [name]
 
 
 def settings_options(
     model: type[pydantic.BaseModel],
 ) -> abc.Callable[[typing.Any], typing.Any]:
-    """Return a decorator that adds an option for each field."""
+    """Return a decorator that adds an option for each field of a model."""
 
     def decorate(function: typing.Any) -> typing.Any:
         for name, field in reversed(model.model_fields.items()):
@@ -114,23 +114,23 @@
 def load_settings(
     model: type[ModelT], values: abc.Mapping[str, str | None]
 ) -> ModelT:
-    """Return the checked settings, or end the program.
+    """Return the validated settings, or exit if one is invalid.
 
-    A wrong setting ends it with one line on standard error that names the
-    setting, its value and what is allowed, and with exit code 2.
+    An invalid setting ends the program with exit code 2 and with one line on
+    standard error that names the setting, its value and the allowed values.
 
-    :param model: the settings' model
-    :param values: what was given; none is not given
+    :param model: model of the settings
+    :param values: the value of each option; ``None`` if it was not given
     """
     given = {key: val for key, val in values.items() if val is not None}
     try:
         return model.model_validate(given)
     except pydantic.ValidationError as exc:
-        print(_explain(model, exc), file=sys.stderr)
+        print(_describe(model, exc), file=sys.stderr)
         sys.exit(EXIT_USAGE)
 
 
-def _explain(
+def _describe(
     model: type[pydantic.BaseModel], error: pydantic.ValidationError
 ) -> str:
     first = error.errors(include_url=False)[0]
--- a/src/ferryledge/runtime/tests/test_runtime.py
+++ b/src/ferryledge/runtime/tests/test_runtime.py
@@ -1,4 +1,7 @@
-"""Bodies, clocks, logs: the shells' parts, on a clock that tests move."""
+"""Settings, request bodies, drivers, logs and the platform's client.
+
+Tests of timing run on a virtual clock.
+"""
 
 import json
 
@@ -16,10 +19,10 @@
 
 
 def request(events):
-    waiting = iter(events)
+    pending = iter(events)
 
     async def receive():
-        for delay, event in waiting:
+        for delay, event in pending:
             await anyio.sleep(delay)
             return {"type": "http.request", **event}
         await anyio.sleep_forever()
@@ -27,14 +30,14 @@
     return runtime.Request({"method": "POST"}, receive)
 
 
-def test_a_body_in_pieces():
-    asked = request(
+def test_body_in_chunks():
+    chunked = request(
         [
             (0.1, {"body": b"ab", "more_body": True}),
             (0.1, {"body": b"c"}),
         ]
     )
-    assert run(asked.body) == b"abc"
+    assert run(chunked.body) == b"abc"
 
 
 @pytest.mark.parametrize(
@@ -45,10 +48,10 @@
         ([(0.0, {"type": "http.disconnect"})], 400),
     ],
 )
-def test_a_body_that_is_slow_large_or_cut_off(events, status):
-    with pytest.raises(runtime.BodyError) as caught:
+def test_body_that_is_slow_too_large_or_incomplete(events, status):
+    with pytest.raises(runtime.BodyError) as error:
         run(request(events).body)
-    assert caught.value.status == status
+    assert error.value.status == status
 
 
 @pytest.mark.parametrize(
@@ -60,42 +63,42 @@
         ([], {"FERRYLEDGE_HALL": "north"}),
     ],
 )
-def test_a_zone_may_be_set_under_its_earlier_name(arguments, variables):
+def test_zone_may_be_set_under_its_earlier_name(arguments, variables):
     @click.command()
     @runtime.settings_options(runtime.ProcessSettings)
     def program(**values):
         settings = runtime.load_settings(runtime.ProcessSettings, values)
         click.echo(settings.zone)
 
-    given = ["--name", "a", "--peer-keys", "k" * 16, *arguments]
-    result = testing.CliRunner().invoke(program, given, env=variables)
+    options = ["--name", "a", "--peer-keys", "k" * 16, *arguments]
+    result = testing.CliRunner().invoke(program, options, env=variables)
     assert result.output == "north\n"
 
 
-def test_a_missing_zone_is_asked_for_under_its_name(capsys):
-    given = {"name": "a", "peer_keys": "k" * 16}
+def test_missing_zone_is_reported_under_its_current_name(capsys):
+    values = {"name": "a", "peer_keys": "k" * 16}
     with pytest.raises(SystemExit):
-        runtime.load_settings(runtime.ProcessSettings, given)
+        runtime.load_settings(runtime.ProcessSettings, values)
     assert "--zone (FERRYLEDGE_ZONE) is missing" in capsys.readouterr().err
 
 
-def test_the_list_may_use_the_earlier_name_of_a_zone():
+def test_vm_list_may_use_the_earlier_name_of_a_zone():
     record = {"name": "a", "role": "entry", "host": "h", "port": 1}
-    read = runtime.VmRecord.model_validate
-    assert read({**record, "hall": "north"}) == read(
+    parse = runtime.VmRecord.model_validate
+    assert parse({**record, "hall": "north"}) == parse(
         {**record, "zone": "north"}
     )
 
 
-class Beat:
-    """A core that wants to tick every ten seconds."""
+class PeriodicCore:
+    """A core whose next tick is due ten seconds after the last one."""
 
     def __init__(self):
         self.ticks = []
-        self.seen = []
+        self.events = []
 
     def receive(self, now, event):
-        self.seen.append(event)
+        self.events.append(event)
 
     def tick(self, now):
         self.ticks.append(round(now - self.start, 3))
@@ -105,12 +108,12 @@
         return (self.ticks[-1] if self.ticks else 0.0) + self.start + 10.0
 
 
-def test_a_driver_ticks_when_due_and_once_for_many_events():
-    beat = Beat()
+def test_driver_ticks_when_due_and_once_for_several_events():
+    periodic = PeriodicCore()
 
     async def main():
-        beat.start = anyio.current_time()
-        driver = runtime.Driver(beat, lambda action: None)
+        periodic.start = anyio.current_time()
+        driver = runtime.Driver(periodic, lambda action: None)
         async with anyio.create_task_group() as group:
             group.start_soon(driver.run)
             await anyio.sleep(15.0)
@@ -120,31 +123,31 @@
             group.cancel_scope.cancel()
 
     run(main)
-    assert beat.ticks == [10.0, 15.0, 25.0]
-    assert len(beat.seen) == 3
+    assert periodic.ticks == [10.0, 15.0, 25.0]
+    assert len(periodic.events) == 3
 
 
-def test_logs_are_json_lines_with_their_fields(capsys):
+def test_log_lines_are_json_with_keyword_fields(capsys):
     runtime.configure_logging("info", "entry-1")
     loguru.logger.debug("unseen")
     loguru.logger.info("a {} with <tags>", "line", step="place", job="j-1")
     loguru.logger.remove()
     (line,) = capsys.readouterr().err.splitlines()
-    told = json.loads(line)
-    assert told["message"] == "a line with <tags>"
-    assert (told["level"], told["step"], told["job"]) == (
+    record = json.loads(line)
+    assert record["message"] == "a line with <tags>"
+    assert (record["level"], record["step"], record["job"]) == (
         "info",
         "place",
         "j-1",
     )
-    assert told["process"] == "entry-1"
+    assert record["process"] == "entry-1"
 
 
-def test_a_platform_that_is_not_there_is_an_error_with_step_and_peer():
+def test_unreachable_platform_raises_error_with_step_and_peer():
     client = runtime.PlatformClient("http://127.0.0.1:9")
-    with pytest.raises(runtime.PlatformError) as caught:
+    with pytest.raises(runtime.PlatformError) as error:
         anyio.run(client.vms)
-    assert caught.value.step == "vms"
-    assert caught.value.peer == "http://127.0.0.1:9"
+    assert error.value.step == "vms"
+    assert error.value.peer == "http://127.0.0.1:9"
     with pytest.raises(runtime.AppendLostError):
         anyio.run(client.append, b"{}")
