--- a/src/ferryledge/configlog/_entities.py
+++ b/src/ferryledge/configlog/_entities.py
@@ -123,10 +123,12 @@
     reason: typing.Annotated[str, annotated_types.MaxLen(500)]
     #: Seconds since 1970 by the operator's clock; informational only.
     at: float
+    #: Entities to add or replace.
     puts: typing.Annotated[
         tuple[Entity, ...],
         annotated_types.MaxLen(MAX_ENTITIES),
     ] = ()
+    #: Keys of the entities to delete; missing entities are ignored.
     deletes: typing.Annotated[
         tuple[EntityKey, ...], annotated_types.MaxLen(MAX_ENTITIES)
     ] = ()
@@ -138,7 +140,9 @@
 class AuditEntry:
     """One accepted change in the audit trail."""
 
+    #: The version that the change led to.
     version: int
+    #: Offset of the change in the log.
     offset: int
     id: str
     author: str
@@ -184,4 +188,5 @@
     record: typing.Literal["checkpoint"] = "checkpoint"
 
 
+#: The configuration before the first change.
 EMPTY_SNAPSHOT = Snapshot()
--- a/src/ferryledge/configlog/_fold.py
+++ b/src/ferryledge/configlog/_fold.py
@@ -38,7 +38,7 @@
 def check_references(
     entities: tuple[_entities.Entity, ...],
 ) -> str:
-    """Check that every entity that another one names exists.
+    """Check that the policies that services name exist.
 
     :return: a description of the first dangling reference, or an empty
         string
--- a/src/ferryledge/configlog/_follower.py
+++ b/src/ferryledge/configlog/_follower.py
@@ -162,8 +162,8 @@
     def _continues_log(self, page: LogPage) -> bool:
         """Return whether the page can be applied at the current position.
 
-        If the log was replaced or truncated, the position is set to its
-        first record.
+        If the log was replaced or truncated, the position is set to the
+        oldest record that the log holds.
         """
         if not self._log_id:
             self._log_id = page.log_id
@@ -180,7 +180,7 @@
         return not replaced and not page.records
 
     def _needs_checkpoint(self, page: LogPage) -> bool:
-        """Return whether records between snapshot and page are missing."""
+        """Return whether the follower must start again from a checkpoint."""
         if self._state in (FollowerState.SEEKING, FollowerState.REPLACED):
             return True
         if page.first <= self._position:
@@ -205,7 +205,7 @@
             self._snapshot = snapshot
             self._position = snapshot.through
             self._state = FollowerState.FOLLOWING
-            self._update_checkpoint_position(record.offset, now)
+            self._update_newest_checkpoint(record.offset, now)
             return [_fold.Accepted("checkpoint", snapshot.version)]
         return []
 
@@ -216,8 +216,7 @@
 
         :param record: any record of the log
         :param first: offset of the oldest record that the log still holds
-        :return: the checkpoint, or ``None`` if the record is none that can
-            be used
+        :return: the checkpoint, or ``None`` if the record is no usable one
         """
         try:
             decoded = _records.decode_record(record.data)
@@ -242,7 +241,7 @@
             self._state = FollowerState.FOLLOWING
             return _fold.NotApplied(f"invalid record: {exc}")
         if isinstance(decoded, _entities.Checkpoint):
-            self._update_checkpoint_position(record.offset, now)
+            self._update_newest_checkpoint(record.offset, now)
         self._snapshot, verdict = _fold.fold(
             self._snapshot, decoded, record.offset
         )
@@ -250,6 +249,6 @@
         self._state = FollowerState.FOLLOWING
         return verdict
 
-    def _update_checkpoint_position(self, offset: int, now: float) -> None:
+    def _update_newest_checkpoint(self, offset: int, now: float) -> None:
         self._checkpoint_offset = max(self._checkpoint_offset, offset)
         self._checkpoint_time = now
--- a/src/ferryledge/configlog/_records.py
+++ b/src/ferryledge/configlog/_records.py
@@ -6,7 +6,7 @@
 
 from ferryledge.configlog import _entities
 
-#: Maximum size of a record.
+#: Maximum size of a record in bytes.
 MAX_RECORD_BYTES = 4 * 1024 * 1024
 
 _Record = typing.Annotated[
@@ -23,12 +23,12 @@
     """A record or snapshot can't be decoded.
 
     :param message: what is wrong
-    :param newer: whether the record has a newer format than this program
+    :param newer: whether its format is newer than this program supports
     """
 
     def __init__(self, message: str, newer: bool = False) -> None:
         super().__init__(message)
-        #: Whether the record has a newer format than this program.
+        #: Whether the record's format is newer than this program supports.
         self.newer = newer
 
 
