--- a/src/ferryledge/net/_connecting.py
+++ b/src/ferryledge/net/_connecting.py
@@ -1,9 +1,9 @@
-"""Opens a connection to a peer that may get its power back meanwhile.
+"""Opens a connection to a peer by staggered concurrent attempts.
 
-It answers the return of many machines at once. A machine hears nothing of a
-connection that was begun before it had power, and the network repeats that
-only after a second. So another try is begun soon, while the earlier ones go
-on: over a full link the first one may still be answered.
+A machine that is starting misses a connection request sent before it is up,
+and TCP retransmits the request only after a second. Further attempts are
+therefore started at short intervals. The earlier ones continue, since the
+response to them may only be delayed by a congested link.
 """
 
 import asyncio
@@ -15,47 +15,49 @@
 TransportT = typing.TypeVar("TransportT", bound=asyncio.BaseTransport)
 ProtocolT = typing.TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
-#: Seconds that all tries have together. Short, since a peer that lost its
-#: power never answers.
-CONNECT_S = 0.25
-#: Seconds between two tries: many times what an answer takes over a link that
-#: is not full, so that peers with power get one try.
-TRY_EVERY_S = 0.05
+#: Time-out for all attempts together, in seconds. Short, since a peer without
+#: power never responds.
+CONNECT_TIMEOUT_S = 0.25
+#: Seconds between the starts of two attempts. Much longer than a round trip on
+#: an uncongested link, so that one attempt suffices for a peer that is up.
+ATTEMPT_INTERVAL_S = 0.05
 
 
 async def connect(
-    open_one: abc.Callable[[], abc.Awaitable[tuple[TransportT, ProtocolT]]],
-    tries: int,
+    open_connection: abc.Callable[
+        [], abc.Awaitable[tuple[TransportT, ProtocolT]]
+    ],
+    max_attempts: int,
 ) -> ProtocolT:
-    """Return the first connection that some try opens.
+    """Return the protocol of the first connection that opens.
 
-    :param open_one: begins one try
-    :param tries: how many are begun at the most
-    :raises OSError: if the peer refused, or can't be reached
-    :raises TimeoutError: if no try was answered
+    :param open_connection: makes one attempt
+    :param max_attempts: maximum number of attempts
+    :raises OSError: if the peer refuses or is unreachable
+    :raises TimeoutError: if no attempt completes in time
     """
     opened: list[tuple[TransportT, ProtocolT]] = []
-    failed: list[OSError] = []
-    kept = None
+    errors: list[OSError] = []
+    chosen = None
     try:
-        with anyio.move_on_after(CONNECT_S):
+        with anyio.move_on_after(CONNECT_TIMEOUT_S):
             async with anyio.create_task_group() as group:
 
-                async def one() -> None:
+                async def attempt() -> None:
                     try:
-                        opened.append(await open_one())
+                        opened.append(await open_connection())
                     except OSError as exc:
-                        failed.append(exc)
+                        errors.append(exc)
                     group.cancel_scope.cancel()
 
-                for _ in range(tries):
-                    group.start_soon(one)
-                    await anyio.sleep(TRY_EVERY_S)
+                for _ in range(max_attempts):
+                    group.start_soon(attempt)
+                    await anyio.sleep(ATTEMPT_INTERVAL_S)
         if opened:
-            kept = opened[0]
-            return kept[1]
+            chosen = opened[0]
+            return chosen[1]
     finally:
         for connection in opened:
-            if connection is not kept:
+            if connection is not chosen:
                 connection[0].close()
-    raise failed[0] if failed else TimeoutError
+    raise errors[0] if errors else TimeoutError
--- a/src/ferryledge/net/_mesh.py
+++ b/src/ferryledge/net/_mesh.py
@@ -1,8 +1,9 @@
-"""Streams between the system's processes.
+"""Message streams between the processes of the system.
 
-A stream opens with a mutual proof of the shared key, then a greeting from
-each side. Each peer has at most one stream; a newer one replaces it once it
-has been greeted, so one may be opened beside a stream that seems silent.
+A stream starts with mutual authentication by a shared key and an exchange of
+``Hello`` messages. There is at most one stream per peer: when a new stream has
+completed its handshake, it replaces the old one. A replacement can therefore
+be opened while an unresponsive stream is still in place.
 """
 
 import asyncio
@@ -22,19 +23,21 @@
 from ferryledge.net import _stream
 from ferryledge import wire
 
-#: Most bytes that wait for a slow peer before its stream is broken: some
-#: 20,000 messages, or a few of the largest.
-_MOST_UNSENT_BYTES = 16 * 1024 * 1024
+#: Maximum bytes buffered for a slow peer before its stream is closed.
+_MAX_UNSENT_BYTES = 16 * 1024 * 1024
+#: Time limit of the handshake in seconds.
 _HANDSHAKE_S = 3.0
-#: Strangers that may be in the handshake at once.
+#: Maximum number of accepted streams that are in the handshake concurrently.
 _MAX_HANDSHAKES = 256
 
 
-Prove = abc.Callable[[_stream.Stream, tuple[str, ...]], abc.Awaitable[None]]
+Authenticate = abc.Callable[
+    [_stream.Stream, tuple[str, ...]], abc.Awaitable[None]
+]
 
 
 class PeerAddress(msgspec.Struct, frozen=True):
-    """Where a peer listens."""
+    """The name of a peer and the address that it listens on."""
 
     name: str
     host: str
@@ -42,78 +45,79 @@
 
 
 class _Connection:
-    """One open stream, greeted by both sides."""
+    """An open stream that has completed its handshake."""
 
     def __init__(self, stream: _stream.Stream, hello: wire.Hello) -> None:
         self._stream = stream
         self.hello = hello
-        #: Set once the stream is no longer used.
-        self.left = anyio.Event()
+        #: Set when the stream is closed or replaced.
+        self.closed = anyio.Event()
 
     def send(self, data: bytes) -> None:
-        """Send bytes; breaks the stream if the peer is too slow."""
+        """Send bytes; closes the stream if too many are unsent."""
         self._stream.write(data)
-        if self._stream.unsent > _MOST_UNSENT_BYTES:
+        if self._stream.unsent > _MAX_UNSENT_BYTES:
             self.close()
 
     def close(self) -> None:
-        """Break the stream."""
+        """Close the stream."""
         self._stream.close()
 
 
-class _Greeting(msgspec.Struct, frozen=True):
-    """What came with a peer's greeting."""
+class _PeerHello(msgspec.Struct, frozen=True):
+    """A peer's ``Hello`` and the state of the decoder that read it."""
 
     hello: wire.Hello
     decoder: wire.Decoder
-    #: Messages that came right behind it.
-    early: list[wire.Message]
+    #: Messages received together with the ``Hello``, not yet processed.
+    pending: list[wire.Message]
 
 
 class Mesh:
-    """All streams of one process.
+    """The streams of one process to its peers.
 
     :param keys: the accepted shared keys
-    :param hello: returns this process's greeting
-    :param post: takes the events of all streams
+    :param hello: returns the ``Hello`` message of this process
+    :param post_event: called with each event of a stream
     """
 
     def __init__(
         self,
         keys: tuple[str, ...],
         hello: abc.Callable[[], wire.Hello],
-        post: abc.Callable[[wire.StreamEvent], None],
+        post_event: abc.Callable[[wire.StreamEvent], None],
     ) -> None:
         self._keys = keys
         self._hello = hello
-        self._post = post
+        self._post_event = post_event
         self._connections: dict[str, _Connection] = {}
-        self._dialled: dict[str, anyio.CancelScope] = {}
+        #: Cancel scopes of the dialling loops, by peer.
+        self._dial_scopes: dict[str, anyio.CancelScope] = {}
         self._addresses: dict[str, PeerAddress] = {}
-        #: Streams that are being opened beside silent ones.
-        self._reopening: dict[str, anyio.CancelScope] = {}
+        #: Cancel scopes of replacement streams that are being opened.
+        self._reopen_scopes: dict[str, anyio.CancelScope] = {}
         self._handshakes = anyio.CapacityLimiter(_MAX_HANDSHAKES)
         self._messages_sent = 0
         self._bytes_sent = 0
-        self._refused = 0
+        self._refusals = 0
 
     @property
     def messages_sent(self) -> int:
-        """Messages sent to peers so far."""
+        """The number of messages sent to peers so far."""
         return self._messages_sent
 
     @property
     def bytes_sent(self) -> int:
-        """Bytes sent to peers so far."""
+        """The number of bytes sent to peers so far."""
         return self._bytes_sent
 
     @property
     def refused(self) -> int:
-        """Streams refused because the other side proved no key."""
-        return self._refused
+        """The number of streams refused for a failed handshake."""
+        return self._refusals
 
     def send(self, name: str, message: wire.Message) -> None:
-        """Send a message, or drop it if there is no stream."""
+        """Send a message to a peer; dropped if it has no stream."""
         connection = self._connections.get(name)
         if connection is None:
             return
@@ -123,19 +127,19 @@
         connection.send(data)
 
     def names(self) -> frozenset[str]:
-        """Return the peers with an open stream."""
+        """Return the names of the peers with an open stream."""
         return frozenset(self._connections)
 
     def close(self, name: str) -> None:
-        """Break the stream to a peer; a dialled one is dialled anew."""
+        """Close the stream to a peer; a dialled peer is dialled again."""
         connection = self._connections.get(name)
         if connection is not None:
             connection.close()
             self._unregister(connection)
 
     def is_dialled(self, name: str) -> bool:
-        """Return whether this process keeps dialling a peer."""
-        return name in self._dialled
+        """Return whether this process keeps a stream to a peer open."""
+        return name in self._dial_scopes
 
     async def listen(
         self,
@@ -145,12 +149,13 @@
         *,
         task_status: anyio_abc.TaskStatus[int],
     ) -> None:
-        """Accept streams for ever; reports the port that was bound.
+        """Accept streams until cancelled; reports the bound port.
 
-        :param host: IP number to listen on
-        :param port: TCP port; 0 picks one
-        :param listener: a socket that is bound there already; none binds one
-        :raises OSError: if the address can't be listened on
+        :param host: IP address to listen on
+        :param port: TCP port; 0 selects a free one
+        :param listener: a socket already bound to the address; defaults to a
+            new one
+        :raises OSError: if the process can't listen on the address
         """
         listener = listener or _sockets.bind(host, port)
         async with anyio.create_task_group() as group:
@@ -168,29 +173,29 @@
                 await anyio.sleep_forever()
 
     async def _accept(self, stream: _stream.Stream) -> None:
-        await self._use(stream, wire.accept, self._handshakes)
+        await self._handshake_and_serve(stream, wire.accept, self._handshakes)
 
-    async def _use(
+    async def _handshake_and_serve(
         self,
         stream: _stream.Stream,
-        prove: Prove,
+        authenticate: Authenticate,
         limiter: contextlib.AbstractAsyncContextManager[object],
     ) -> bool:
-        """Greet the other side of a fresh stream and serve it.
+        """Complete the handshake of a new stream and serve it.
 
-        :param stream: the stream; it is closed at the end
-        :param prove: proves the shared key
-        :param limiter: bounds the handshakes at once
-        :return: whether the other side was greeted
+        :param stream: the stream; it is closed on return
+        :param authenticate: authenticates both sides by the shared key
+        :param limiter: limits the number of concurrent handshakes
+        :return: whether the handshake succeeded
         """
         try:
             async with limiter:
                 with anyio.fail_after(_HANDSHAKE_S):
-                    await prove(stream, self._keys)
-                    greeting = await self._greet(stream)
-            await self._serve(stream, greeting)
+                    await authenticate(stream, self._keys)
+                    peer_hello = await self._exchange_hellos(stream)
+            await self._serve(stream, peer_hello)
         except (wire.AuthenticationError, wire.WireError) as exc:
-            self._refuse(stream, exc)
+            self._log_refusal(stream, exc)
             return False
         except (TimeoutError, _stream.DisconnectedError):
             return False
@@ -198,70 +203,72 @@
             stream.close()
         return True
 
-    def _refuse(self, stream: _stream.Stream, exc: Exception) -> None:
-        self._refused += 1
+    def _log_refusal(self, stream: _stream.Stream, exc: Exception) -> None:
+        self._refusals += 1
         loguru.logger.warning(
             "stream refused: {}", exc, step="handshake", peer=stream.peer
         )
 
     async def keep_dialling(self, address: PeerAddress) -> None:
         """Keep a stream to a peer open until :meth:`forget`."""
-        if address.name in self._dialled:
+        if address.name in self._dial_scopes:
             return
-        redial = _redial.Redial()
+        backoff = _redial.RedialBackoff()
         with anyio.CancelScope() as scope:
-            self._dialled[address.name] = scope
+            self._dial_scopes[address.name] = scope
             self._addresses[address.name] = address
-            # The peer may have been reached already, by another name.
-            await self._unconnected(address.name)
-            # Once forgotten, an open stream stays but is not dialled anew.
-            while self._dialled.get(address.name) is scope:
-                result = await self._dial(address, redial.tries)
-                wait_s = redial.wait_s(result)
-                await self._unconnected(address.name)
-                await anyio.sleep(wait_s * (1.0 + random.random()))
-
-    async def _unconnected(self, name: str) -> None:
-        """Wait until a peer has no stream."""
+            # The peer may already have a stream, for instance one that was
+            # dialled as a seed.
+            await self._wait_until_closed(address.name)
+            # After forget(), an open stream stays but isn't dialled again.
+            while self._dial_scopes.get(address.name) is scope:
+                result = await self._dial(address, backoff.max_attempts)
+                delay_s = backoff.delay_s(result)
+                await self._wait_until_closed(address.name)
+                await anyio.sleep(delay_s * (1.0 + random.random()))
+
+    async def _wait_until_closed(self, name: str) -> None:
+        """Wait until a peer has no open stream."""
         while name in self._connections:
-            await self._connections[name].left.wait()
+            await self._connections[name].closed.wait()
 
     async def reopen(self, name: str) -> None:
-        """Open a new stream beside one that seems silent, and serve it.
+        """Open and serve a replacement for an unresponsive stream.
 
-        It replaces the old one once it is greeted. Nothing happens for a
-        peer that is not dialled, or while one is being opened already.
+        The new stream replaces the old one when its handshake is complete.
+        Does nothing for a peer that isn't dialled, or while a replacement is
+        already being opened.
         """
         address = self._addresses.get(name)
-        if address is None or name not in self._dialled:
+        if address is None or name not in self._dial_scopes:
             return
-        if name in self._reopening:
+        if name in self._reopen_scopes:
             return
         with anyio.CancelScope() as scope:
-            self._reopening[name] = scope
+            self._reopen_scopes[name] = scope
             try:
                 await self._dial(address)
             finally:
-                self._end_reopening(name, scope)
+                self._finish_reopening(name, scope)
 
     def keep(self, name: str) -> None:
-        """Give up the stream that is being opened beside another."""
-        scope = self._reopening.pop(name, None)
+        """Keep the current stream; stop opening a replacement for it."""
+        scope = self._reopen_scopes.pop(name, None)
         if scope is not None:
             scope.cancel()
 
-    def _end_reopening(self, name: str, scope: anyio.CancelScope) -> None:
-        if self._reopening.get(name) is scope:
-            del self._reopening[name]
+    def _finish_reopening(self, name: str, scope: anyio.CancelScope) -> None:
+        if self._reopen_scopes.get(name) is scope:
+            del self._reopen_scopes[name]
 
     def forget(self, name: str) -> None:
-        """Stop dialling a peer; an open stream stays."""
-        scope = self._dialled.pop(name, None)
+        """Stop dialling a peer; an open stream stays open."""
+        scope = self._dial_scopes.pop(name, None)
         if scope is not None and name not in self._connections:
             scope.cancel()
 
     async def _dial(
-        self, address: PeerAddress, tries: int = 1
+        self, address: PeerAddress, max_attempts: int = 1
     ) -> _redial.DialResult:
         loop = asyncio.get_running_loop()
         try:
@@ -269,18 +276,18 @@
                 lambda: loop.create_connection(
                     _stream.Stream, address.host, address.port
                 ),
-                tries,
+                max_attempts,
             )
         except ConnectionRefusedError:
             return _redial.DialResult.REFUSED
         except (OSError, TimeoutError):
-            return _redial.DialResult.SILENT
+            return _redial.DialResult.UNREACHABLE
         limiter = contextlib.nullcontext()
-        if await self._use(stream, wire.connect, limiter):
-            return _redial.DialResult.SERVED
-        return _redial.DialResult.UNPROVED
+        if await self._handshake_and_serve(stream, wire.connect, limiter):
+            return _redial.DialResult.CLOSED
+        return _redial.DialResult.HANDSHAKE_FAILED
 
-    async def _greet(self, stream: _stream.Stream) -> _Greeting:
+    async def _exchange_hellos(self, stream: _stream.Stream) -> _PeerHello:
         stream.write(wire.encode(self._hello()))
         decoder = wire.Decoder()
         while True:
@@ -289,28 +296,28 @@
                 continue
             first = messages[0]
             if not isinstance(first, wire.Hello):
-                raise wire.WireError("the first message is no greeting")
-            return _Greeting(first, decoder, messages[1:])
+                raise wire.WireError("the first message is not a Hello")
+            return _PeerHello(first, decoder, messages[1:])
 
     async def _serve(
-        self, stream: _stream.Stream, greeting: _Greeting
+        self, stream: _stream.Stream, peer_hello: _PeerHello
     ) -> None:
-        connection = _Connection(stream, greeting.hello)
+        connection = _Connection(stream, peer_hello.hello)
         self._register(connection)
-        name = greeting.hello.name
+        name = peer_hello.hello.name
 
         def receive(message: wire.Message) -> None:
             if self._connections.get(name) is connection:
-                self._post(wire.Received(name, message))
+                self._post_event(wire.Received(name, message))
 
         def feed(data: bytes) -> None:
-            for message in greeting.decoder.feed(data):
+            for message in peer_hello.decoder.feed(data):
                 receive(message)
 
-        for message in greeting.early:
+        for message in peer_hello.pending:
             receive(message)
         try:
-            await stream.pour(feed)
+            await stream.forward(feed)
         except wire.WireError as exc:
             loguru.logger.warning(
                 "stream broken: {}", exc, step="receive", peer=name
@@ -325,16 +332,16 @@
             old.close()
             self._unregister(old)
         self._connections[name] = connection
-        # A greeted stream is not given up any more.
-        self._reopening.pop(name, None)
+        # keep() must not cancel a stream that is in use.
+        self._reopen_scopes.pop(name, None)
         loguru.logger.debug("stream open", step="join", peer=name)
-        self._post(wire.PeerUp(connection.hello))
+        self._post_event(wire.PeerUp(connection.hello))
 
     def _unregister(self, connection: _Connection) -> None:
         hello = connection.hello
         if self._connections.get(hello.name) is not connection:
             return
         del self._connections[hello.name]
-        connection.left.set()
+        connection.closed.set()
         loguru.logger.debug("stream closed", step="join", peer=hello.name)
-        self._post(wire.PeerDown(hello.name, hello.incarnation))
+        self._post_event(wire.PeerDown(hello.name, hello.incarnation))
--- a/src/ferryledge/net/_stream.py
+++ b/src/ferryledge/net/_stream.py
@@ -1,4 +1,4 @@
-"""A TCP connection whose bytes are handed on as they come."""
+"""A TCP connection that forwards received bytes to a callback."""
 
 import asyncio
 from collections import abc
@@ -8,43 +8,43 @@
 
 
 class DisconnectedError(Exception):
-    """The connection broke."""
+    """The connection was lost."""
 
 
 class Stream(asyncio.Protocol):
-    """One connection, first read on demand and then poured into a sink.
+    """A connection that is first read on demand, then forwarded to a sink.
 
-    The event loop calls the sink directly: to read in a task, with reading
-    paused in between, took half of what an entry spent on what came (profile).
+    The event loop calls the sink directly, which costs much less than reading
+    in a task.
 
-    :param opened: called with the stream once it is connected
+    :param on_connected: called with the stream when it is connected
     """
 
     def __init__(
-        self, opened: abc.Callable[["Stream"], None] | None = None
+        self, on_connected: abc.Callable[["Stream"], None] | None = None
     ) -> None:
-        self._opened = opened
+        self._on_connected = on_connected
         self._transport: asyncio.Transport | None = None
-        self._read = bytearray()
+        self._buffer = bytearray()
         self._sink: Sink | None = None
-        #: Set when bytes came or the connection broke.
-        self._news = asyncio.Event()
-        self._broken = False
+        #: Set when data is received or the connection is lost.
+        self._data_or_closed = asyncio.Event()
+        self._disconnected = False
         self._failure: Exception | None = None
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to use the connection."""
+        """Store the transport."""
         self._transport = typing.cast(asyncio.Transport, transport)
-        if self._opened is not None:
-            self._opened(self)
+        if self._on_connected is not None:
+            self._on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Keep bytes, or hand them on."""
+        """Buffer the bytes, or pass them to the sink if there is one."""
         if self._sink is None:
-            self._read += data
-            self._news.set()
+            self._buffer += data
+            self._data_or_closed.set()
             return
         try:
             self._sink(data)
@@ -53,82 +53,83 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection broke."""
-        self._broken = True
-        self._news.set()
+        """Wake up the readers of a lost connection."""
+        self._disconnected = True
+        self._data_or_closed.set()
 
     # Called by its owner.
 
     @property
     def peer(self) -> str:
-        """The other side's address, for the log."""
+        """The address of the peer, for the log."""
         if self._transport is None:
             return ""
         return str(self._transport.get_extra_info("peername", ""))
 
     @property
     def unsent(self) -> int:
-        """Bytes that the other side has not taken yet."""
+        """The number of bytes in the send buffer."""
         if self._transport is None:
             return 0
         return self._transport.get_write_buffer_size()
 
     def write(self, data: bytes) -> None:
-        """Send bytes, now or when the other side takes them."""
-        if self._transport is not None and not self._broken:
+        """Send bytes, or buffer them while the peer is slow."""
+        if self._transport is not None and not self._disconnected:
             self._transport.write(data)
 
     async def send(self, data: bytes) -> None:
-        """Send bytes, as :meth:`write` does."""
+        """Send bytes as :meth:`write` does; doesn't wait."""
         self.write(data)
 
     async def receive(self) -> bytes:
-        """Return the next bytes.
+        """Return the received bytes; waits until there are some.
 
-        :raises DisconnectedError: if the connection broke
+        :raises DisconnectedError: if the connection is lost
         """
-        while not self._read:
-            await self._more()
-        return self._take(len(self._read))
+        while not self._buffer:
+            await self._wait_for_data()
+        return self._consume(len(self._buffer))
 
     async def receive_exactly(self, count: int) -> bytes:
-        """Return just that many bytes.
+        """Return the given number of bytes; waits until they are received.
 
-        :raises DisconnectedError: if the connection broke before
+        :raises DisconnectedError: if the connection is lost before
         """
-        while len(self._read) < count:
-            await self._more()
-        return self._take(count)
-
-    async def _more(self) -> None:
-        if self._broken:
-            raise DisconnectedError("the connection broke")
-        self._news.clear()
-        await self._news.wait()
-
-    def _take(self, count: int) -> bytes:
-        data = bytes(self._read[:count])
-        del self._read[:count]
+        while len(self._buffer) < count:
+            await self._wait_for_data()
+        return self._consume(count)
+
+    async def _wait_for_data(self) -> None:
+        if self._disconnected:
+            raise DisconnectedError("the connection was lost")
+        self._data_or_closed.clear()
+        await self._data_or_closed.wait()
+
+    def _consume(self, count: int) -> bytes:
+        data = bytes(self._buffer[:count])
+        del self._buffer[:count]
         return data
 
-    async def pour(self, sink: Sink) -> None:
-        """Hand all bytes to a sink until the connection breaks.
+    async def forward(self, sink: Sink) -> None:
+        """Pass all received bytes to a sink until the connection closes.
 
+        :param sink: called with each piece of data
         :raises Exception: what the sink raised; the connection is closed
         """
-        early = self._take(len(self._read))
+        buffered = self._consume(len(self._buffer))
         self._sink = sink
-        if early:
-            self.data_received(early)
-        while not self._broken:
-            self._news.clear()
-            await self._news.wait()
+        if buffered:
+            self.data_received(buffered)
+        while not self._disconnected:
+            self._data_or_closed.clear()
+            await self._data_or_closed.wait()
         if self._failure is not None:
             raise self._failure
 
     def close(self) -> None:
-        """Send what the other side takes at once, and close."""
-        if self._transport is None or self._broken:
+        """Close without waiting for unsent data."""
+        if self._transport is None or self._disconnected:
             return
         self._transport.close()
         asyncio.get_running_loop().call_soon(self._transport.abort)
--- a/src/ferryledge/net/tests/test_connecting.py
+++ b/src/ferryledge/net/tests/test_connecting.py
@@ -26,7 +26,7 @@
         self.tries = 0
         self.open: set[int] = set()
 
-    async def open_one(self) -> tuple["_Transport", asyncio.Protocol]:
+    async def open_connection(self) -> tuple["_Transport", asyncio.Protocol]:
         """Begin a try."""
         self.tries += 1
         if anyio.current_time() < self._dark_s:
@@ -52,7 +52,7 @@
     """Return when a connection is open; the clock starts at 0."""
 
     async def main() -> float:
-        await _connecting.connect(peer.open_one, tries)
+        await _connecting.connect(peer.open_connection, tries)
         return anyio.current_time()
 
     return paused_clock.run(main)
@@ -79,7 +79,7 @@
     opened: list[int] = []
 
     class _Both(_Peer):
-        async def open_one(self) -> tuple[_Transport, asyncio.Protocol]:
+        async def open_connection(self) -> tuple[_Transport, asyncio.Protocol]:
             number = len(opened)
             opened.append(number)
             # All are answered in the same turn of the loop.
@@ -113,7 +113,7 @@
 
     async def main() -> None:
         with anyio.move_on_after(0.1):
-            await _connecting.connect(peer.open_one, 5)
+            await _connecting.connect(peer.open_connection, 5)
 
     paused_clock.run(main)
     assert not peer.open
--- a/src/ferryledge/net/tests/test_redial.py
+++ b/src/ferryledge/net/tests/test_redial.py
@@ -25,8 +25,8 @@
 
 def _result_at(now: float, powered_at: float, ready_at: float) -> _Result:
     if now < powered_at:
-        return _Result.SILENT
-    return _Result.REFUSED if now < ready_at else _Result.SERVED
+        return _Result.UNREACHABLE
+    return _Result.REFUSED if now < ready_at else _Result.CLOSED
 
 
 def _dial(
@@ -34,11 +34,11 @@
 ) -> tuple[_Result, float, int]:
     """Return how a dial ends, when, and by which try."""
     for number in range(tries):
-        at = now + number * _connecting.TRY_EVERY_S
+        at = now + number * _connecting.ATTEMPT_INTERVAL_S
         result = _result_at(at, powered_at, ready_at)
-        if result is not _Result.SILENT:
+        if result is not _Result.UNREACHABLE:
             return result, at, number + 1
-    return _Result.SILENT, now + _connecting.CONNECT_S, tries
+    return _Result.UNREACHABLE, now + _connecting.CONNECT_TIMEOUT_S, tries
 
 
 def _reached_at(dark_s: float, start_s: float) -> tuple[float, int]:
@@ -47,15 +47,17 @@
     :param dark_s: seconds until its machine has power
     :param start_s: seconds until its process listens then
     """
-    redial = _redial.Redial()
+    backoff = _redial.RedialBackoff()
     now = 0.0
     tries = 0
     while True:
-        result, now, more = _dial(now, redial.tries, dark_s, dark_s + start_s)
+        result, now, more = _dial(
+            now, backoff.max_attempts, dark_s, dark_s + start_s
+        )
         tries += more
-        if result is _Result.SERVED:
+        if result is _Result.CLOSED:
             return now, tries
-        now += 2.0 * redial.wait_s(result)
+        now += 2.0 * backoff.delay_s(result)
 
 
 @pytest.mark.parametrize("dark_s", [0.0, 0.1, 0.5, 1.5, 3.0])
@@ -77,9 +79,9 @@
 
 
 def test_peer_that_refuses_for_good_is_dialled_seldom() -> None:
-    redial = _redial.Redial()
-    waits = [redial.wait_s(_Result.REFUSED) for _ in range(200)]
-    assert waits[-1] == _redial._LONGEST_S
+    backoff = _redial.RedialBackoff()
+    waits = [backoff.delay_s(_Result.REFUSED) for _ in range(200)]
+    assert waits[-1] == _redial._MAX_BACKOFF_S
     assert sum(waits[:150]) > 10.0
 
 
@@ -89,9 +91,9 @@
 
 
 def test_peer_that_proves_no_key_is_dialled_ever_more_seldom() -> None:
-    redial = _redial.Redial()
-    waits = [redial.wait_s(_Result.UNPROVED) for _ in range(6)]
+    backoff = _redial.RedialBackoff()
+    waits = [backoff.delay_s(_Result.HANDSHAKE_FAILED) for _ in range(6)]
     assert waits == sorted(waits)
-    assert waits[-1] == _redial._LONGEST_S
-    redial.wait_s(_Result.SERVED)
-    assert redial.wait_s(_Result.UNPROVED) == waits[0]
+    assert waits[-1] == _redial._MAX_BACKOFF_S
+    backoff.delay_s(_Result.CLOSED)
+    assert backoff.delay_s(_Result.HANDSHAKE_FAILED) == waits[0]
