--- a/src/ferryledge/net/_driver.py
+++ b/src/ferryledge/net/_driver.py
@@ -1,4 +1,4 @@
-"""Runs a core: feeds it events, ticks it and carries out its actions."""
+"""Runs a core: passes events to it, ticks it and performs its actions."""
 
 import asyncio
 from collections import abc
@@ -7,15 +7,15 @@
 
 from ferryledge.net import _suspension
 
-#: Ticks at least this often, in seconds.
-_LONGEST_SLEEP_S = 60.0
+#: Maximum time between two checks whether the core is due, in seconds.
+_MAX_SLEEP_S = 60.0
 _NEVER = float("inf")
-#: The native loop counts milliseconds and rounds. A timer that goes off in
-#: the millisecond before its time would be set anew without any delay until
-#: that has passed, and the process would spin.
-_GRAIN_S = 0.001
-#: What a whole number of grains may be off by for being a float.
-_ROUNDING = 1e-6
+#: Delays are rounded up to the timer resolution of uvloop, in seconds. uvloop
+#: rounds to milliseconds, and a timer that fires early would be set again with
+#: no delay, so that the process would spin until the due time.
+_TIMER_RESOLUTION_S = 0.001
+#: Tolerance for the floating-point error of a multiple of the resolution.
+_ROUNDING_TOLERANCE = 1e-6
 
 
 EventT = typing.TypeVar("EventT", contravariant=True)
@@ -23,133 +23,140 @@
 
 
 class Core(typing.Protocol[EventT, ActionT]):
-    """What the driver needs of a core."""
+    """The interface of a core that a driver runs."""
 
     def receive(self, now: float, event: EventT, /) -> None:
-        """Take in one event."""
+        """Process one event."""
 
     def tick(self, now: float) -> list[ActionT]:
-        """Return the actions that the events so far call for."""
+        """Return the actions to perform, given the events so far."""
 
     def wake_at(self) -> float:
-        """Return when to tick at the latest."""
+        """Return the latest time of the next tick."""
 
 
-def _nothing() -> None:
-    """Do nothing after a tick."""
+def _no_op() -> None:
+    """Do nothing."""
 
 
 class Driver(typing.Generic[EventT, ActionT]):
-    """Ticks a core once for all events that are ready.
-
-    By the event loop's callbacks and not by a task: to wait with a time-out
-    took as long as the ticks themselves (0.39 and 0.36 s of 8 s, profile of an
-    agent).
-
-    :param driven: the core
-    :param perform: carries out one action; must not block
-    :param ticked: called after each tick
-    :param tick_by: returns when the core wants to tick for the events since
-        its last tick; none is at once for each
-    :param asleep_s: returns for how long the machine was suspended so far;
-        none measures it
+    """Ticks a core, once for all events that are ready.
+
+    Uses callbacks of the event loop rather than a task, since a task that
+    waits with a time-out is considerably more expensive.
+
+    :param core: the core to run
+    :param perform: performs one action; must not block
+    :param after_tick: called after each tick
+    :param tick_by: returns the latest time of the tick that handles the events
+        since the last one; defaults to a tick as soon as an event is posted
+    :param suspended_s: returns for how many seconds the machine has been
+        suspended so far; defaults to a measurement by two clocks
     """
 
     def __init__(
         self,
-        driven: Core[EventT, ActionT],
+        core: Core[EventT, ActionT],
         perform: abc.Callable[[ActionT], None],
-        ticked: abc.Callable[[], None] = _nothing,
+        after_tick: abc.Callable[[], None] = _no_op,
         tick_by: abc.Callable[[], float] | None = None,
-        asleep_s: abc.Callable[[], float] | None = None,
+        suspended_s: abc.Callable[[], float] | None = None,
     ) -> None:
-        self._core = driven
+        self._core = core
         self._perform = perform
-        self._ticked = ticked
+        self._after_tick = after_tick
         self._tick_by = tick_by
-        self._asleep_s = asleep_s or _suspension.Suspension().asleep_s
+        self._suspended_s = (
+            suspended_s or _suspension.SuspensionClock().suspended_s
+        )
         self._loop: asyncio.AbstractEventLoop | None = None
-        #: Ends with what a tick raised.
-        self._failed: asyncio.Future[None] | None = None
-        self._tick_planned = False
+        #: Completes with the exception that a tick raised.
+        self._failure: asyncio.Future[None] | None = None
+        self._tick_scheduled = False
         self._timer: asyncio.Handle | None = None
-        #: When the timer goes off.
+        #: The time at which the timer fires.
         self._timer_at = _NEVER
 
     def now(self) -> float:
-        """Return the time that the core goes by, in seconds.
+        """Return the time passed to the core, in seconds.
 
-        The loop's, and the machine's suspensions: what others granted this
-        process, and what it believes of them, grows old meanwhile.
+        It is the event loop's time plus the time for which the machine was
+        suspended, since leases expire during a suspension as well.
         """
         loop = self._loop or asyncio.get_running_loop()
-        return loop.time() + self._asleep_s()
+        return loop.time() + self._suspended_s()
 
     def post(self, event: EventT) -> None:
-        """Hand an event to the core; it ticks when it wants to."""
+        """Pass an event to the core and schedule the tick for it."""
         now = self.now()
         self._core.receive(now, event)
         if self._tick_by is None:
-            self._plan_tick()
+            self._schedule_tick()
             return
         due = self._tick_by()
         if due <= now:
-            self._plan_tick()
+            self._schedule_tick()
         elif due < self._timer_at and self._loop is not None:
             self._set_timer(self._loop, due)
 
     async def run(self) -> None:
-        """Tick for ever."""
+        """Tick the core until cancelled.
+
+        :raises Exception: what a tick or an action raised
+        """
         self._loop = asyncio.get_running_loop()
-        self._failed = self._loop.create_future()
-        if self._tick_planned:
+        self._failure = self._loop.create_future()
+        if self._tick_scheduled:
             self._loop.call_soon(self._tick)
         else:
-            self._plan_wake(self._loop)
+            self._schedule_wake(self._loop)
         try:
-            await self._failed
+            await self._failure
         finally:
             self._loop = None
             if self._timer is not None:
                 self._timer.cancel()
 
-    def _plan_tick(self) -> None:
-        if self._tick_planned:
+    def _schedule_tick(self) -> None:
+        if self._tick_scheduled:
             return
-        self._tick_planned = True
+        self._tick_scheduled = True
         if self._loop is not None:
             self._loop.call_soon(self._tick)
 
     def _tick(self) -> None:
-        self._tick_planned = False
-        if self._loop is None or self._failed is None:
+        self._tick_scheduled = False
+        if self._loop is None or self._failure is None:
             return
         try:
             for action in self._core.tick(self.now()):
                 self._perform(action)
-            self._ticked()
-            self._plan_wake(self._loop)
+            self._after_tick()
+            self._schedule_wake(self._loop)
         except Exception as exc:
             self._fail(exc)
 
     def _fail(self, exc: Exception) -> None:
-        """Let :meth:`run` end with an error."""
-        if self._failed is not None and not self._failed.done():
-            self._failed.set_exception(exc)
+        """Make :meth:`run` raise an exception."""
+        if self._failure is not None and not self._failure.done():
+            self._failure.set_exception(exc)
 
-    def _plan_wake(self, loop: asyncio.AbstractEventLoop) -> None:
+    def _schedule_wake(self, loop: asyncio.AbstractEventLoop) -> None:
         now = self.now()
-        due = min(max(now, self._core.wake_at()), now + _LONGEST_SLEEP_S)
+        due = min(max(now, self._core.wake_at()), now + _MAX_SLEEP_S)
         if self._timer is None or not now < self._timer_at <= due:
             self._set_timer(loop, due)
-        # Else it goes off sooner, and plans the next one.
+        # Otherwise the pending timer fires earlier and sets the next one.
 
     def _set_timer(self, loop: asyncio.AbstractEventLoop, due: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = due
-        delay_s = max(_GRAIN_S, due - self.now())
-        delay_s = math.ceil(delay_s / _GRAIN_S - _ROUNDING) * _GRAIN_S
+        delay_s = max(_TIMER_RESOLUTION_S, due - self.now())
+        delay_s = (
+            math.ceil(delay_s / _TIMER_RESOLUTION_S - _ROUNDING_TOLERANCE)
+            * _TIMER_RESOLUTION_S
+        )
         self._timer = loop.call_later(delay_s, self._wake)
 
     def _wake(self) -> None:
@@ -162,4 +169,4 @@
         if due_for_events or self._core.wake_at() <= now:
             self._tick()
         else:
-            self._plan_wake(self._loop)
+            self._schedule_wake(self._loop)
--- a/src/ferryledge/net/tests/test_driver.py
+++ b/src/ferryledge/net/tests/test_driver.py
@@ -152,7 +152,7 @@
 
     async def main() -> None:
         driver: net.Driver[object, object] = net.Driver(
-            core, [].append, asleep_s=lambda: slept[0]
+            core, [].append, suspended_s=lambda: slept[0]
         )
         async with anyio.create_task_group() as group:
             group.start_soon(driver.run)
@@ -174,8 +174,8 @@
 
 
 def test_steady_clock_of_a_machine_that_is_awake_counts_alone() -> None:
-    suspension = _suspension.Suspension()
-    assert [suspension.asleep_s() for _ in range(1000)] == [0.0] * 1000
+    suspension = _suspension.SuspensionClock()
+    assert [suspension.suspended_s() for _ in range(1000)] == [0.0] * 1000
 
 
 def test_suspensions_add_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -184,13 +184,13 @@
         clock_gettime=lambda _: boot[0], monotonic=lambda: 40.0
     )
     monkeypatch.setattr(_suspension, "time", clock)
-    suspension = _suspension.Suspension()
+    suspension = _suspension.SuspensionClock()
     boot[0] += 0.001
-    assert suspension.asleep_s() == 0.0
+    assert suspension.suspended_s() == 0.0
     boot[0] += 5.0
-    assert suspension.asleep_s() == pytest.approx(5.0, abs=0.01)
+    assert suspension.suspended_s() == pytest.approx(5.0, abs=0.01)
     boot[0] += 30.0
-    assert suspension.asleep_s() == pytest.approx(35.0, abs=0.01)
+    assert suspension.suspended_s() == pytest.approx(35.0, abs=0.01)
 
 
 def test_error_of_the_core_ends_the_process(
