--- a/src/ferryledge/net/_http.py
+++ b/src/ferryledge/net/_http.py
@@ -1,8 +1,8 @@
-"""HTTP calls over kept connections, one origin a caller.
+"""An HTTP client with persistent connections to a single origin.
 
-An agent makes some thirty calls a second, and what each costs is most of
-what an agent costs. So this is thin: the event loop's transports, and the
-parser that the server uses too. The connection used last is used next.
+Calls account for most of an agent's processor time. The client is therefore
+built directly on the event loop's transports and the ``httptools`` parser.
+The most recently used connection is reused first.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
 
 class _Permit:
-    """Lets a call be one of those that go on at once; given back once.
+    """The permit of one call under the limit of concurrent calls.
 
-    :param limiter: counts the permits
+    :param limiter: limits the concurrent calls
     """
 
     def __init__(self, limiter: anyio.CapacityLimiter) -> None:
@@ -28,23 +28,23 @@
         self._timer: asyncio.TimerHandle | None = None
         self._held = False
 
-    async def take(self, most_s: float | None) -> None:
+    async def acquire(self, max_hold_s: float | None) -> None:
         """Wait for a permit.
 
-        :param most_s: seconds after which it goes to the next call all the
-            same; none is never
+        :param max_hold_s: seconds after which the permit is released even if
+            the call is still pending; never if none
         """
         try:
             self._limiter.acquire_on_behalf_of_nowait(self)
         except anyio.WouldBlock:
             await self._limiter.acquire_on_behalf_of(self)
         self._held = True
-        if most_s is not None:
+        if max_hold_s is not None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(most_s, self.give_back)
+            self._timer = loop.call_later(max_hold_s, self.release)
 
-    def give_back(self) -> None:
-        """Let the next call go on; nothing happens the second time."""
+    def release(self) -> None:
+        """Release the permit; further calls have no effect."""
         if not self._held:
             return
         self._held = False
@@ -54,18 +54,19 @@
 
 
 class HttpCaller:
-    """Calls one origin.
-
-    :param url: base address, such as ``http://127.0.0.1:7000``
-    :param connections: most connections at once; further calls wait
-    :param replace_idle: whether a call without an answer also closes the
-        connections that rest. They may be as silent, and each would cost a
-        call's whole time; for calls of milliseconds that is cheaper than new
-        connections.
-    :param permit_s: seconds after which a call without an answer no longer
-        counts among the most connections; none is never
-    :param window_bytes: what the origin may send on one connection before
-        this process took it; 0 is without limit
+    """An HTTP client for one origin.
+
+    :param url: base URL, such as ``http://127.0.0.1:7000``
+    :param connections: maximum number of concurrent calls; further calls
+        wait. At most as many idle connections are kept.
+    :param replace_idle: whether a call that times out also closes the idle
+        connections. They may be unresponsive too, and each would cost another
+        time-out; with time-outs of milliseconds that costs less than
+        reconnecting.
+    :param permit_s: seconds after which a pending call no longer counts
+        towards the limit of concurrent calls; defaults to never
+    :param window_bytes: size in bytes of the receive buffer of a connection,
+        which limits the data in flight; 0 is the system's default
     """
 
     def __init__(
@@ -84,12 +85,12 @@
         self._limiter = anyio.CapacityLimiter(connections)
         self._idle: list[_http_connection.Connection] = []
         self._replace_idle = replace_idle
-        self._most_idle = connections
+        self._max_idle = connections
         self._permit_s = permit_s
         self._window_bytes = window_bytes
 
     async def close(self) -> None:
-        """Close all connections that are not in use."""
+        """Close all idle connections."""
         while self._idle:
             self._idle.pop().close()
 
@@ -101,40 +102,41 @@
         headers: abc.Sequence[tuple[str, str]] = (),
         connect_s: float = 2.0,
         answer_s: float | None = None,
-        rate: _http_connection.Rate | None = None,
+        rate: _http_connection.ReadRate | None = None,
     ) -> _http_connection.CallResponse:
-        """Return the whole response.
+        """Send a request and return the whole response.
 
         :param method: the HTTP method
         :param path: path and query
         :param content: the body
-        :param headers: further headers; a ``host`` replaces the usual one
-        :param connect_s: seconds to open a connection
-        :param answer_s: seconds to wait for the answer; none is without
-            bound
-        :param rate: returns at how many bytes a second a body of a length
-            is read; with it, ``answer_s`` counts anew with each part that
-            comes. None is as fast as it comes
-        :raises _http_connection.ConnectError: if nothing was sent
-        :raises NoAnswerError: if the answer did not come in time, or the
-            connection broke
+        :param headers: additional headers; they override the default ones
+        :param connect_s: time-out for opening a connection, in seconds
+        :param answer_s: time-out for the response, in seconds; defaults to
+            none
+        :param rate: returns the rate in bytes per second at which to read a
+            body of the given length; defaults to no limit. With a rate,
+            ``answer_s`` restarts whenever a part of the response arrives.
+        :raises ConnectError: if no connection could be opened; the request
+            was not sent
+        :raises NoAnswerError: if the response is not received in time, or
+            the connection is lost
         """
-        request = self._head(method, path, content, headers) + content
+        request = self._request_head(method, path, content, headers) + content
         permit = _Permit(self._limiter)
-        await permit.take(self._permit_s)
+        await permit.acquire(self._permit_s)
         try:
             return await self._exchange(request, connect_s, answer_s, rate)
         finally:
-            permit.give_back()
+            permit.release()
 
     async def _exchange(
         self,
         request: bytes,
         connect_s: float,
         answer_s: float | None,
-        rate: _http_connection.Rate | None,
+        rate: _http_connection.ReadRate | None,
     ) -> _http_connection.CallResponse:
-        connection = await self._take(connect_s)
+        connection = await self._acquire_connection(connect_s)
         try:
             return await connection.call(request, answer_s, rate)
         except _http_connection.LateAnswerError:
@@ -142,12 +144,12 @@
                 await self.close()
             raise
         finally:
-            if connection.reusable and len(self._idle) < self._most_idle:
+            if connection.reusable and len(self._idle) < self._max_idle:
                 self._idle.append(connection)
             else:
                 connection.close()
 
-    def _head(
+    def _request_head(
         self,
         method: str,
         path: str,
@@ -164,7 +166,9 @@
         lines += [f"{name}: {value}" for name, value in fields.items()]
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    async def _take(self, connect_s: float) -> _http_connection.Connection:
+    async def _acquire_connection(
+        self, connect_s: float
+    ) -> _http_connection.Connection:
         while self._idle:
             connection = self._idle.pop()
             if connection.reusable:
@@ -174,7 +178,7 @@
                 return await self._connect()
         except (OSError, TimeoutError) as exc:
             raise _http_connection.ConnectError(
-                f"no connection: {exc}"
+                f"can't connect: {exc}"
             ) from exc
 
     async def _connect(self) -> _http_connection.Connection:
@@ -185,19 +189,20 @@
             )
             return connection
         family = socket.AF_INET6 if ":" in self._host else socket.AF_INET
-        opened = socket.socket(family, socket.SOCK_STREAM)
+        sock = socket.socket(family, socket.SOCK_STREAM)
         try:
-            opened.setblocking(False)
-            opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            # Before it is connected: a window that was offered stands.
-            opened.setsockopt(
+            sock.setblocking(False)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            # Must precede the connect: a TCP window that was advertised can't
+            # be withdrawn.
+            sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_RCVBUF, self._window_bytes
             )
-            await loop.sock_connect(opened, (self._host, self._port))
+            await loop.sock_connect(sock, (self._host, self._port))
             _, connection = await loop.create_connection(
-                _http_connection.Connection, sock=opened
+                _http_connection.Connection, sock=sock
             )
         except BaseException:
-            opened.close()
+            sock.close()
             raise
         return connection
--- a/src/ferryledge/net/_http_connection.py
+++ b/src/ferryledge/net/_http_connection.py
@@ -1,4 +1,4 @@
-"""One connection that carries HTTP calls, one at a time."""
+"""An HTTP/1.1 client connection that carries one call at a time."""
 
 import asyncio
 from collections import abc
@@ -10,100 +10,101 @@
 
 
 class CallError(Exception):
-    """A call brought no response."""
+    """A call failed without a response."""
 
 
 class ConnectError(CallError):
-    """No connection was opened; nothing was sent."""
+    """No connection could be opened; the request was not sent."""
 
 
 class NoAnswerError(CallError):
-    """The connection broke or the time ran out: it may have been done."""
+    """No response was received; the server may have handled the request."""
 
 
 class LateAnswerError(NoAnswerError):
-    """The time ran out."""
+    """No response was received within the time-out."""
 
 
 class CallResponse(msgspec.Struct, frozen=True):
-    """What a server answered."""
+    """The response of a server."""
 
     status: int
     content: bytes
 
 
-#: Returns at how many bytes a second a body of a length is read.
-Rate = abc.Callable[[int], float]
+#: Returns the rate in bytes per second at which to read a body, given its
+#: length in bytes.
+ReadRate = abc.Callable[[int], float]
 
 
 class Connection(asyncio.Protocol):
     """A connection to an origin.
 
-    Driven by the event loop's callbacks: a task that reads would double what
-    a call costs.
+    Uses callbacks of the event loop, since a task that reads would roughly
+    double the cost of a call.
     """
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._answer: asyncio.Future[CallResponse] | None = None
+        self._response: asyncio.Future[CallResponse] | None = None
         self._body: list[bytes] = []
         self._parser = httptools.HttpResponseParser(self)
-        self._rate: Rate | None = None
-        #: Bytes a second at which the present body is read.
-        self._bytes_per_s = math.inf
-        self._length = 0
-        #: Continues to read.
-        self._resuming: asyncio.TimerHandle | None = None
-        self._answer_s: float | None = None
-        self._timer: asyncio.TimerHandle | None = None
+        self._rate: ReadRate | None = None
+        #: Rate in bytes per second at which the current body is read.
+        self._read_bytes_per_s = math.inf
+        self._content_length = 0
+        #: Resumes reading after a pause.
+        self._resume_timer: asyncio.TimerHandle | None = None
+        self._timeout_s: float | None = None
+        self._timeout_timer: asyncio.TimerHandle | None = None
         #: Whether another call may follow.
         self.reusable = True
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to use the connection."""
+        """Store the transport."""
         self._transport = typing.cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the response; unasked, it ends the connection."""
-        if self._answer is None:
+        """Parse a part of the response; closes if no call is pending."""
+        if self._response is None:
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
             self._fail(NoAnswerError(f"unreadable response: {exc}"))
-        if self._rate is not None and not self._answer.done():
-            self._slow_down(len(data))
+        if self._rate is not None and not self._response.done():
+            self._throttle(len(data))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection broke."""
-        self._fail(NoAnswerError("the connection broke"))
+        """Fail the pending call."""
+        self._fail(NoAnswerError("the connection was lost"))
 
     # Called by the parser.
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in how long the body is."""
+        """Read the length of the body."""
         if self._rate is not None and name.lower() == b"content-length":
-            self._length = int(value)
+            self._content_length = int(value)
 
     def on_headers_complete(self) -> None:
-        """Choose how fast the body is read."""
-        if self._rate is not None and self._length:
-            self._bytes_per_s = self._rate(self._length)
+        """Determine the rate at which the body is read."""
+        if self._rate is not None and self._content_length:
+            self._read_bytes_per_s = self._rate(self._content_length)
 
     def on_body(self, data: bytes) -> None:
-        """Take in a part of the body."""
+        """Store a part of the body."""
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Hand the whole response to the caller."""
-        if self._answer is None or self._answer.done():
+        """Complete the call with the response."""
+        if self._response is None or self._response.done():
             return
         self.reusable = self._parser.should_keep_alive()
         status = self._parser.get_status_code()
-        self._answer.set_result(CallResponse(status, b"".join(self._body)))
+        self._response.set_result(CallResponse(status, b"".join(self._body)))
 
     # Called by the caller.
 
@@ -116,69 +117,79 @@
     async def call(
         self,
         request: bytes,
-        answer_s: float | None,
-        rate: Rate | None = None,
+        timeout_s: float | None,
+        rate: ReadRate | None = None,
     ) -> CallResponse:
         """Send a request and return the whole response.
 
-        :param request: head and body
-        :param answer_s: seconds to wait for it; none is without bound
-        :param rate: as in :meth:`HttpCaller.call`
-        :raises NoAnswerError: if it does not come in time, or the connection
-            breaks before
+        :param request: the head and the body
+        :param timeout_s: time-out in seconds; defaults to none. With a rate,
+            it restarts whenever a part of the response arrives.
+        :param rate: returns the rate at which to read the body; defaults to
+            no limit
+        :raises NoAnswerError: if the response is not received in time, or the
+            connection is lost before
         """
         loop = asyncio.get_running_loop()
         self.reusable = False
         self._body = []
         self._rate = rate
-        self._bytes_per_s = math.inf
-        self._length = 0
-        self._answer = loop.create_future()
+        self._read_bytes_per_s = math.inf
+        self._content_length = 0
+        self._response = loop.create_future()
         assert self._transport is not None
         self._transport.write(request)
-        self._answer_s = answer_s
-        self._start_timer()
+        self._timeout_s = timeout_s
+        self._start_timeout()
         try:
-            return await self._answer
+            return await self._response
         finally:
-            self._answer = None
-            self._stop_timer()
-            self._read_on()
+            self._response = None
+            self._cancel_timeout()
+            self._resume_reading()
 
-    def _start_timer(self) -> None:
-        if self._answer_s is None:
+    def _start_timeout(self) -> None:
+        if self._timeout_s is None:
             return
-        late = LateAnswerError("no answer in time")
+        error = LateAnswerError("no response within the time-out")
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self._answer_s, self._fail, late)
-
-    def _stop_timer(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-
-    def _slow_down(self, size: int) -> None:
-        """Read on once the rate allows; an answer that comes is not late."""
-        self._stop_timer()
-        self._start_timer()
-        if math.isinf(self._bytes_per_s) or self._resuming is not None:
+        self._timeout_timer = loop.call_later(
+            self._timeout_s, self._fail, error
+        )
+
+    def _cancel_timeout(self) -> None:
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
+            self._timeout_timer = None
+
+    def _throttle(self, size: int) -> None:
+        """Pause reading as the rate demands, and restart the time-out.
+
+        :param size: number of bytes just received
+        """
+        self._cancel_timeout()
+        self._start_timeout()
+        if (
+            math.isinf(self._read_bytes_per_s)
+            or self._resume_timer is not None
+        ):
             return
         assert self._transport is not None
         self._transport.pause_reading()
-        self._resuming = asyncio.get_running_loop().call_later(
-            size / self._bytes_per_s, self._read_on
+        self._resume_timer = asyncio.get_running_loop().call_later(
+            size / self._read_bytes_per_s, self._resume_reading
         )
 
-    def _read_on(self) -> None:
-        if self._resuming is None:
+    def _resume_reading(self) -> None:
+        if self._resume_timer is None:
             return
-        self._resuming.cancel()
-        self._resuming = None
+        self._resume_timer.cancel()
+        self._resume_timer = None
         assert self._transport is not None
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
     def _fail(self, error: NoAnswerError) -> None:
         self.reusable = False
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(error)
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(error)
