--- a/src/ferryledge/net/__init__.py
+++ b/src/ferryledge/net/__init__.py
@@ -1,13 +1,13 @@
-"""Streams between processes, HTTP both ways, and what drives a core."""
+"""Message streams, HTTP clients and servers, and drivers of cores."""
 
 from ferryledge.net import _asgi
+from ferryledge.net import _daemon
 from ferryledge.net import _driver
 from ferryledge.net import _http
 from ferryledge.net import _http_connection
 from ferryledge.net import _incarnation
 from ferryledge.net import _mesh
 from ferryledge.net import _server
-from ferryledge.net import _stop
 
 BodyError = _asgi.BodyError
 Driver = _driver.Driver
@@ -24,7 +24,7 @@
 Request = _asgi.Request
 asgi_app = _asgi.asgi_app
 new_incarnation = _incarnation.new_incarnation
-run_daemon = _stop.run_daemon
+run_daemon = _daemon.run_daemon
 serve_http = _server.serve_http
 serve_until_cancelled = _server.serve_until_cancelled
 
--- a/src/ferryledge/net/_asgi.py
+++ b/src/ferryledge/net/_asgi.py
@@ -1,4 +1,4 @@
-"""A thin ASGI layer: bounded bodies, JSON answers, one handler."""
+"""A minimal ASGI layer: one handler, size-limited bodies, JSON responses."""
 
 from collections import abc
 import json
@@ -9,41 +9,41 @@
 import loguru
 import msgspec
 
-#: Largest body of a request in bytes.
+#: Maximum size of a request body in bytes.
 MAX_BODY_BYTES = 4 * 1024 * 1024
-#: Seconds within which a body must arrive.
-BODY_S = 10.0
+#: Time limit for receiving a request body, in seconds.
+BODY_TIMEOUT_S = 10.0
 
 Scope = typing.Any
 Receive = abc.Callable[[], abc.Awaitable[typing.Any]]
-Sender = abc.Callable[[typing.Any], abc.Awaitable[None]]
+Send = abc.Callable[[typing.Any], abc.Awaitable[None]]
 
 
 class BodyError(Exception):
-    """The body is too large or too slow.
+    """A request body is incomplete, too large or too slow.
 
-    :param status: the HTTP status to answer with
+    :param status: the HTTP status of the response
     :param message: what the client can do about it
     """
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
-        #: The HTTP status to answer with.
+        #: The HTTP status of the response.
         self.status = status
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """An answer to an HTTP request."""
+    """An HTTP response."""
 
     status: int
     body: bytes
     headers: tuple[tuple[str, str], ...] = ()
     content_type: str = "application/json"
-    #: Further chunks of the body, sent as they come.
+    #: Further chunks of the body, sent as they become available.
     stream: abc.AsyncIterator[bytes] | None = None
 
     def closing(self) -> "HttpResponse":
-        """Return the response with the connection closed after it."""
+        """Return this response with a ``connection: close`` header."""
         headers = (*self.headers, ("connection", "close"))
         return msgspec.structs.replace(self, headers=headers)
 
@@ -54,7 +54,7 @@
         value: object,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> "HttpResponse":
-        """Return a response that holds a value as JSON text."""
+        """Return a response whose body is a value as JSON."""
         return cls(status, json.dumps(value).encode(), headers)
 
 
@@ -67,7 +67,7 @@
 
     @property
     def method(self) -> str:
-        """The method in capitals."""
+        """The method in upper case."""
         return typing.cast(str, self._scope["method"])
 
     @property
@@ -77,17 +77,17 @@
 
     @property
     def parts(self) -> tuple[str, ...]:
-        """The parts of the path between slashes."""
+        """The non-empty segments of the path."""
         return tuple(part for part in self.path.split("/") if part)
 
     def query(self, name: str, default: str = "") -> str:
-        """Return a query parameter."""
+        """Return the first value of a query parameter, or the default."""
         raw = self._scope["query_string"].decode("latin-1")
         values = parse.parse_qs(raw).get(name)
         return values[0] if values else default
 
     def header(self, name: str) -> str:
-        """Return a header's value, or an empty string."""
+        """Return the value of a header, or an empty string."""
         wanted = name.lower().encode("latin-1")
         for key, value in self._scope["headers"]:
             if key == wanted:
@@ -97,12 +97,13 @@
     async def body(self) -> bytes:
         """Return the whole body.
 
-        :raises BodyError: if it is too large or trickles in too slowly
+        :raises BodyError: if the body is too large, or isn't received in time,
+            or the client disconnects
         """
         chunks: list[bytes] = []
         size = 0
         try:
-            with anyio.fail_after(BODY_S):
+            with anyio.fail_after(BODY_TIMEOUT_S):
                 while True:
                     event = await self._receive()
                     if event["type"] == "http.disconnect":
@@ -117,11 +118,11 @@
                     if not event.get("more_body"):
                         return b"".join(chunks)
         except TimeoutError as exc:
-            message = f"send the whole body within {BODY_S:g} seconds"
+            message = f"send the whole body within {BODY_TIMEOUT_S:g} seconds"
             raise BodyError(408, message) from exc
 
     async def disconnected(self) -> None:
-        """Return once the client has hung up."""
+        """Return when the client has disconnected."""
         while True:
             event = await self._receive()
             if event["type"] == "http.disconnect":
@@ -132,9 +133,9 @@
 
 
 def asgi_app(handler: Handler) -> typing.Any:
-    """Return an ASGI application around one handler."""
+    """Return an ASGI application that passes all requests to a handler."""
 
-    async def app(scope: Scope, receive: Receive, send: Sender) -> None:
+    async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return
         response = await _respond(handler, Request(scope, receive))
@@ -169,7 +170,7 @@
         return HttpResponse.json(500, {"error": "internal error"})
 
 
-async def _send_body(response: HttpResponse, send: Sender) -> None:
+async def _send_body(response: HttpResponse, send: Send) -> None:
     more = response.stream is not None
     event = {
         "type": "http.response.body",
--- a/src/ferryledge/net/_incarnation.py
+++ b/src/ferryledge/net/_incarnation.py
@@ -1,8 +1,8 @@
-"""Names for single starts of a process."""
+"""Identifiers of the incarnations of a process."""
 
 import secrets
 
 
 def new_incarnation() -> str:
-    """Return a name for this start of the process."""
+    """Return a random identifier for this start of the process."""
     return secrets.token_hex(5)
--- a/src/ferryledge/net/_server.py
+++ b/src/ferryledge/net/_server.py
@@ -1,4 +1,4 @@
-"""Serves HTTP by uvicorn inside the process's own event loop."""
+"""Serves HTTP with uvicorn in the event loop of the process."""
 
 from collections import abc
 import contextlib
@@ -11,37 +11,39 @@
 
 from ferryledge import _sockets
 
+#: Seconds after which idle connections are closed.
 _KEEP_ALIVE_S = 75
+#: Interval in seconds at which the server is polled until it has started.
 _POLL_S = 0.005
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves the signals to the daemon.
+    """A server that stops by an event and leaves signals to the daemon.
 
-    :param config: the server's settings
-    :param stop: ends it
+    :param config: the settings of the server
+    :param stop: stops the server when set
     """
 
     def __init__(self, config: uvicorn.Config, stop: anyio.Event) -> None:
         super().__init__(config)
-        self._stop = stop
+        self._stop_event = stop
 
     @contextlib.contextmanager
     def capture_signals(self) -> abc.Iterator[None]:
         yield
 
     async def main_loop(self) -> None:
-        """Wait for the end; looking for it took 10 wake-ups a second."""
+        """Wait for the stop event, without the polling of the base class."""
         await self.on_tick(0)
-        await self._stop.wait()
+        await self._stop_event.wait()
 
     def close_listeners(self) -> None:
-        """Listen no more; nothing happens the second time."""
-        for one in getattr(self, "servers", ()):
-            one.close()
+        """Stop listening; further calls have no effect."""
+        for server in getattr(self, "servers", ()):
+            server.close()
 
     def release_connections(self) -> None:
-        """Close unused connections, and others after their answer."""
+        """Close idle connections, and busy ones after their response."""
         for connection in list(self.server_state.connections):
             connection.shutdown()
 
@@ -58,19 +60,20 @@
 ) -> None:
     """Serve until the event is set, then let open requests finish.
 
-    Reports the port that was bound.
+    Reports the bound port.
 
     :param app: the ASGI application
-    :param host: IP number to listen on
-    :param port: TCP port; 0 picks one
-    :param stop: ends the server
-    :param release: closes connections that clients keep open; new ones are
-        still accepted
-    :param listener: a socket that is bound there already; none binds one
-    :raises OSError: if the address can't be listened on
+    :param host: IP address to listen on
+    :param port: TCP port; 0 selects a free one
+    :param stop: stops the server when set
+    :param release: when set, closes the existing connections as soon as they
+        are idle; new ones are still accepted
+    :param listener: a socket already bound to the address; defaults to a new
+        one
+    :raises OSError: if the process can't listen on the address
     """
     if listener is None:
-        # The server itself would end the process where it can't listen.
+        # uvicorn would exit the process if it can't listen.
         listener = _sockets.bind(host, port)
     config = uvicorn.Config(
         app,
@@ -94,7 +97,7 @@
         try:
             await server.serve(sockets=[listener])
         finally:
-            # A server that is cancelled leaves its sockets to the collector.
+            # uvicorn doesn't close its sockets when it is cancelled.
             server.close_listeners()
             listener.close()
         group.cancel_scope.cancel()
@@ -117,7 +120,7 @@
     """Serve until the calling task is cancelled.
 
     :param app: the ASGI application
-    :param host: IP number to listen on
+    :param host: IP address to listen on
     :param port: TCP port
     """
     async with anyio.create_task_group() as group:
