--- a/src/ferryledge/net/tests/paused_clock.py
+++ b/src/ferryledge/net/tests/paused_clock.py
@@ -11,7 +11,7 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Lets time pass where another selector would wait."""
+    """Advances its clock where another selector would wait."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -27,7 +27,7 @@
 
 
 class _PausedLoop(asyncio.SelectorEventLoop):
-    """A loop that goes by its selector's clock."""
+    """A loop that takes its time from its selector."""
 
     def __init__(self) -> None:
         self._clock = _JumpingSelector()
@@ -40,7 +40,7 @@
 def run(
     function: abc.Callable[..., abc.Awaitable[ResultT]], *arguments: typing.Any
 ) -> ResultT:
-    """Run on a clock that jumps ahead whenever all tasks sleep."""
+    """Run a function on a clock that jumps ahead when all tasks wait."""
     return anyio.run(
         function, *arguments, backend_options={"loop_factory": _PausedLoop}
     )
--- a/src/ferryledge/net/tests/test_connecting.py
+++ b/src/ferryledge/net/tests/test_connecting.py
@@ -1,4 +1,4 @@
-"""Several tries to connect, on an event loop whose clock jumps."""
+"""Staggered connection attempts, on an event loop whose clock jumps."""
 
 import asyncio
 
@@ -10,32 +10,35 @@
 
 
 class _Peer:
-    """Answers tries that are begun once its machine has power.
+    """A peer that responds to attempts made after its machine is powered on.
 
-    :param dark_s: seconds until then
-    :param answer_s: seconds until a try is answered
-    :param refuses: whether its process does not listen
+    :param power_on_s: seconds until the machine is powered on
+    :param response_s: response time in seconds
+    :param refuses: whether connections are refused
     """
 
     def __init__(
-        self, dark_s: float, answer_s: float = 0.002, refuses: bool = False
+        self,
+        power_on_s: float,
+        response_s: float = 0.002,
+        refuses: bool = False,
     ) -> None:
-        self._dark_s = dark_s
-        self._answer_s = answer_s
+        self._power_on_s = power_on_s
+        self._response_s = response_s
         self._refuses = refuses
-        self.tries = 0
+        self.attempts = 0
         self.open: set[int] = set()
 
     async def open_connection(self) -> tuple["_Transport", asyncio.Protocol]:
-        """Begin a try."""
-        self.tries += 1
-        if anyio.current_time() < self._dark_s:
+        """Make one attempt."""
+        self.attempts += 1
+        if anyio.current_time() < self._power_on_s:
             await anyio.sleep_forever()
-        await anyio.sleep(self._answer_s)
+        await anyio.sleep(self._response_s)
         if self._refuses:
             raise ConnectionRefusedError
-        self.open.add(self.tries)
-        return _Transport(self, self.tries), asyncio.Protocol()
+        self.open.add(self.attempts)
+        return _Transport(self, self.attempts), asyncio.Protocol()
 
 
 class _Transport(asyncio.BaseTransport):
@@ -48,41 +51,41 @@
         self._peer.open.discard(self._number)
 
 
-def _connect(peer: _Peer, tries: int = 5) -> float:
-    """Return when a connection is open; the clock starts at 0."""
+def _connect(peer: _Peer, attempts: int = 5) -> float:
+    """Return the time at which a connection opens; the clock starts at 0."""
 
     async def main() -> float:
-        await _connecting.connect(peer.open_connection, tries)
+        await _connecting.connect(peer.open_connection, attempts)
         return anyio.current_time()
 
     return paused_clock.run(main)
 
 
-def test_peer_with_power_gets_one_try() -> None:
+def test_reachable_peer_gets_one_attempt() -> None:
     peer = _Peer(0.0)
     assert _connect(peer) == pytest.approx(0.002)
-    assert peer.tries == 1
+    assert peer.attempts == 1
 
 
-def test_try_from_before_the_power_is_not_waited_for() -> None:
+def test_attempt_before_power_on_does_not_delay_the_next() -> None:
     peer = _Peer(0.06)
     assert _connect(peer) == pytest.approx(0.102)
 
 
-def test_answer_over_a_full_link_counts() -> None:
+def test_slow_response_to_the_first_attempt_is_used() -> None:
     peer = _Peer(0.0, 0.18)
     assert _connect(peer) == pytest.approx(0.18)
     assert len(peer.open) == 1
 
 
-def test_one_of_two_that_open_at_once_is_kept() -> None:
+def test_only_one_of_several_open_connections_is_kept() -> None:
     opened: list[int] = []
 
     class _Both(_Peer):
         async def open_connection(self) -> tuple[_Transport, asyncio.Protocol]:
             number = len(opened)
             opened.append(number)
-            # All are answered in the same turn of the loop.
+            # All attempts complete in the same iteration of the loop.
             await anyio.sleep_until(0.12)
             self.open.add(number)
             return _Transport(self, number), asyncio.Protocol()
@@ -98,10 +101,10 @@
     [
         (_Peer(0.0, refuses=True), ConnectionRefusedError),
         (_Peer(9.0), TimeoutError),
-        (_Peer(0.0, answer_s=1.0), TimeoutError),
+        (_Peer(0.0, response_s=1.0), TimeoutError),
     ],
 )
-def test_failure_tells_what_the_peer_is(
+def test_error_distinguishes_refusal_from_time_out(
     peer: _Peer, error: type[Exception]
 ) -> None:
     with pytest.raises(error):
--- a/src/ferryledge/net/tests/test_daemon.py
+++ b/src/ferryledge/net/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Signals to a daemon."""
+"""Signal handling of daemons."""
 
 import os
 import signal
@@ -8,7 +8,7 @@
 from ferryledge import net
 
 
-def test_hangup_reloads_and_does_not_end_the_process() -> None:
+def test_sighup_reloads_settings_and_keeps_running() -> None:
     reloads = []
 
     async def main(drain: anyio.Event) -> None:
--- a/src/ferryledge/net/tests/test_driver.py
+++ b/src/ferryledge/net/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""What drives a core, on both event loops."""
+"""The driver of a core, on both event loops."""
 
 import types
 import typing
@@ -15,12 +15,12 @@
 
 @pytest.fixture(params=[False, True], ids=["python", "native"])
 def backend_options(request: pytest.FixtureRequest) -> dict[str, bool]:
-    """Daemons use the native loop; tests often the other one."""
+    """Select the loop of asyncio, then uvloop, which daemons use."""
     return {"use_uvloop": request.param}
 
 
 class _Core:
-    """Counts its ticks and wants the next one as told."""
+    """A core that records its ticks and wakes at the first time in ``due``."""
 
     def __init__(self) -> None:
         self.events: list[object] = []
@@ -52,7 +52,7 @@
     return done
 
 
-def test_events_of_one_moment_share_a_tick(
+def test_events_posted_together_share_a_tick(
     backend_options: dict[str, bool],
 ) -> None:
     core = _Core()
@@ -69,23 +69,23 @@
     assert done == [("did", 0), ("did", 1), ("did", 2)]
 
 
-def test_core_ticks_for_an_event_when_it_wants_to() -> None:
+def test_tick_for_an_event_is_delayed_until_tick_by() -> None:
     core = _Core()
-    by = [_NEVER]
+    tick_by = [_NEVER]
 
     async def main() -> None:
         driver: net.Driver[object, object] = net.Driver(
-            core, [].append, tick_by=lambda: by[0]
+            core, [].append, tick_by=lambda: tick_by[0]
         )
         async with anyio.create_task_group() as group:
             group.start_soon(driver.run)
             await anyio.sleep(1.0)
             driver.post("quiet")
             await anyio.sleep(1.0)
-            by[0] = 2.5
+            tick_by[0] = 2.5
             driver.post("soon")
             await anyio.sleep(1.0)
-            by[0] = 3.0
+            tick_by[0] = 3.0
             driver.post("now")
             await anyio.sleep(1.0)
             group.cancel_scope.cancel()
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("delay_s", [-1.0, 0.0, 0.02])
-def test_core_wakes_when_it_wants_to(
+def test_core_ticks_at_its_wake_time(
     backend_options: dict[str, bool], delay_s: float
 ) -> None:
     core = _Core()
@@ -116,22 +116,20 @@
 def test_driver_does_not_spin_until_a_timer_is_due(
     backend_options: dict[str, bool], delay_s: float
 ) -> None:
-    """The native loop rounds times to milliseconds.
+    """Guards against a busy loop before a timer is due.
 
-    A timer went off up to half a millisecond early, found nothing due, and
-    was set again without a delay. On a machine whose clock moves only while
-    processes wait, that took all processor time for ever: a day that takes
-    three minutes had not ended after eight.
+    uvloop rounds delays to milliseconds, so that a timer could fire early and
+    be set again without a delay.
     """
     core = _Core()
-    looks: list[float] = []
+    wake_checks: list[float] = []
 
-    def look() -> float:
-        looks.append(anyio.current_time())
+    def record_check() -> float:
+        wake_checks.append(anyio.current_time())
         done = core.ticks and core.ticks[-1] >= core.due[0]
         return _NEVER if done else core.due[0]
 
-    core.wake_at = look  # type: ignore[method-assign]
+    core.wake_at = record_check  # type: ignore[method-assign]
 
     async def post(driver: net.Driver[object, object]) -> None:
         for _ in range(20):
@@ -141,18 +139,18 @@
 
     core.due = [_NEVER]
     anyio.run(_drive, core, post, backend_options=backend_options)
-    # After an event's tick, when the timer goes off, and after that tick.
-    assert len(looks) <= 1 + 3 * 20
+    # After the tick for an event, when the timer fires, and after its tick.
+    assert len(wake_checks) <= 1 + 3 * 20
 
 
-def test_time_for_which_the_machine_was_suspended_counts() -> None:
-    """The steady clock stands still, and grants of others run out."""
+def test_time_of_suspensions_counts() -> None:
+    """Leases of other processes expire while the monotonic clock stops."""
     core = _Core()
-    slept = [0.0]
+    suspended = [0.0]
 
     async def main() -> None:
         driver: net.Driver[object, object] = net.Driver(
-            core, [].append, suspended_s=lambda: slept[0]
+            core, [].append, suspended_s=lambda: suspended[0]
         )
         async with anyio.create_task_group() as group:
             group.start_soon(driver.run)
@@ -160,8 +158,8 @@
             core.due = [driver.now() + 0.5]
             driver.post("before")
             await anyio.sleep(0.1)
-            slept[0] = 30.0
-            # A timer from before has as long to go as it had.
+            suspended[0] = 30.0
+            # The pending timer doesn't advance during the suspension.
             await anyio.sleep(0.5)
             core.due = [driver.now() + 0.5]
             driver.post("after")
@@ -173,30 +171,32 @@
     assert pytest.approx(32.1) in core.ticks
 
 
-def test_steady_clock_of_a_machine_that_is_awake_counts_alone() -> None:
-    suspension = _suspension.SuspensionClock()
-    assert [suspension.suspended_s() for _ in range(1000)] == [0.0] * 1000
+def test_no_suspension_is_measured_on_a_running_machine() -> None:
+    suspension_clock = _suspension.SuspensionClock()
+    assert [suspension_clock.suspended_s() for _ in range(1000)] == [
+        0.0
+    ] * 1000
 
 
-def test_suspensions_add_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_suspensions_are_added_up(monkeypatch: pytest.MonkeyPatch) -> None:
     boot = [100.0]
     clock = types.SimpleNamespace(
         clock_gettime=lambda _: boot[0], monotonic=lambda: 40.0
     )
     monkeypatch.setattr(_suspension, "time", clock)
-    suspension = _suspension.SuspensionClock()
+    suspension_clock = _suspension.SuspensionClock()
     boot[0] += 0.001
-    assert suspension.suspended_s() == 0.0
+    assert suspension_clock.suspended_s() == 0.0
     boot[0] += 5.0
-    assert suspension.suspended_s() == pytest.approx(5.0, abs=0.01)
+    assert suspension_clock.suspended_s() == pytest.approx(5.0, abs=0.01)
     boot[0] += 30.0
-    assert suspension.suspended_s() == pytest.approx(35.0, abs=0.01)
+    assert suspension_clock.suspended_s() == pytest.approx(35.0, abs=0.01)
 
 
 def test_error_of_the_core_ends_the_process(
     backend_options: dict[str, bool],
 ) -> None:
-    """Swallowed, it would leave a process that answers nobody."""
+    """Otherwise the process would go on without responding to requests."""
     core = _Core()
 
     async def post(driver: net.Driver[object, object]) -> None:
--- a/src/ferryledge/net/tests/test_http.py
+++ b/src/ferryledge/net/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Calls over kept connections."""
+"""HTTP calls over persistent connections."""
 
 from collections import abc
 import itertools
@@ -11,7 +11,7 @@
 
 Use = abc.Callable[[net.HttpCaller, "_Origin"], abc.Awaitable[None]]
 
-#: Seconds after which a call that waits for ever is given up.
+#: Time limit of a test whose call hangs, in seconds.
 _HANG_S = 20.0
 _OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}"
 _CLOSING = (
@@ -24,18 +24,18 @@
 
 
 class _Origin:
-    """Answers each request with given bytes and counts connections."""
+    """Sends a fixed response to each request and counts connections."""
 
     def __init__(self) -> None:
         self.answer: bytes | None = _OK
         self.connections = 0
-        self.close_after_answer = False
-        self._silent = 0
+        self.close_after_response = False
+        self._unresponsive = 0
         self.requests: list[bytes] = []
 
-    def silence_open(self) -> None:
-        """Answer nothing more on the connections that are open now."""
-        self._silent = self.connections
+    def stop_responding(self) -> None:
+        """Stop responding on the connections that are open now."""
+        self._unresponsive = self.connections
 
     async def serve(self, stream: typing.Any) -> None:
         self.connections += 1
@@ -46,10 +46,10 @@
                     self.requests.append(await stream.receive())
                 except (anyio.EndOfStream, anyio.BrokenResourceError):
                     return
-                if self.answer is None or number <= self._silent:
+                if self.answer is None or number <= self._unresponsive:
                     continue
                 await stream.send(self.answer)
-                if self.close_after_answer:
+                if self.close_after_response:
                     return
 
 
@@ -84,7 +84,7 @@
     assert _run(use).connections == 1
 
 
-def test_connection_that_the_server_ends_is_not_used_again() -> None:
+def test_connection_with_close_header_is_not_reused() -> None:
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
         origin.answer = _CLOSING
         for _ in range(2):
@@ -93,9 +93,9 @@
     assert _run(use).connections == 2
 
 
-def test_connection_closed_meanwhile_is_replaced() -> None:
+def test_idle_connection_closed_by_the_server_is_replaced() -> None:
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
-        origin.close_after_answer = True
+        origin.close_after_response = True
         for _ in range(2):
             assert (await caller.call("GET", "/")).status == 200
             await anyio.sleep(0.05)
@@ -103,19 +103,19 @@
     assert _run(use).connections == 2
 
 
-def test_missing_answer_is_told_apart_from_a_missing_connection() -> None:
+def test_missing_response_and_failed_connect_raise_different_errors() -> None:
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
         origin.answer = None
         with pytest.raises(net.NoAnswerError):
             await caller.call("GET", "/", answer_s=0.05)
-        nobody = net.HttpCaller("http://127.0.0.1:1", 1)
+        unreachable = net.HttpCaller("http://127.0.0.1:1", 1)
         with pytest.raises(net.ConnectError):
-            await nobody.call("GET", "/")
+            await unreachable.call("GET", "/")
 
     _run(use)
 
 
-def test_unreadable_answer_is_no_answer() -> None:
+def test_malformed_response_raises_no_answer_error() -> None:
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
         origin.answer = b"SMTP ready\r\n\r\n"
         with pytest.raises(net.NoAnswerError):
@@ -124,48 +124,48 @@
     _run(use)
 
 
-def test_silent_connection_is_given_up_and_replaced() -> None:
-    """One that is silent for good costs a call, and no more."""
-    answers = itertools.chain([None], itertools.repeat(_OK))
+def test_unresponsive_connection_is_replaced() -> None:
+    """An unresponsive connection costs a single call."""
+    responses = itertools.chain([None], itertools.repeat(_OK))
 
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
-        origin.answer = next(answers)
+        origin.answer = next(responses)
         with pytest.raises(net.NoAnswerError):
             await caller.call("GET", "/", answer_s=0.05)
-        origin.answer = next(answers)
+        origin.answer = next(responses)
         assert (await caller.call("GET", "/", answer_s=0.5)).status == 200
 
     assert _run(use).connections == 2
 
 
-@pytest.mark.parametrize(("replace_idle", "silent_calls"), [(1, 1), (0, 2)])
-def test_silent_call_replaces_connections_that_rest(
-    replace_idle: int, silent_calls: int
+@pytest.mark.parametrize(
+    ("replace_idle", "expected_failures"), [(1, 1), (0, 2)]
+)
+def test_time_out_replaces_idle_connections(
+    replace_idle: int, expected_failures: int
 ) -> None:
-    """All open connections go silent: one call is lost, not one each."""
+    """When all connections become unresponsive, only one call fails."""
 
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
         async with anyio.create_task_group() as group:
             for _ in range(2):
                 group.start_soon(caller.call, "GET", "/")
-        origin.silence_open()
-        lost = 0
+        origin.stop_responding()
+        failures = 0
         for _ in range(3):
             try:
                 await caller.call("GET", "/", answer_s=0.5)
             except net.NoAnswerError:
-                lost += 1
-        assert lost == silent_calls
+                failures += 1
+        assert failures == expected_failures
 
     _run(use, replace_idle=bool(replace_idle))
 
 
-def test_silent_calls_keep_others_waiting_for_a_moment_only() -> None:
-    """Orders queued behind lost ones, and counted as lost themselves.
+def test_unanswered_calls_release_their_permits() -> None:
+    """Guards against calls that queue behind unanswered ones.
 
-    With half of the orders to its endpoint lost, an agent's few connections
-    were taken by calls that waited for nothing: runs were stopped unstarted
-    after 0.28 s at the median, and 10 of 205 jobs were in time.
+    Otherwise orders to an endpoint time out while lost ones hold all permits.
     """
 
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
@@ -177,14 +177,14 @@
                 while len(origin.requests) < 4:
                     await anyio.sleep(0.001)
                 origin.answer = _OK
-                answered = await caller.call("GET", "/")
-            assert answered.status == 200
+                response = await caller.call("GET", "/")
+            assert response.status == 200
             group.cancel_scope.cancel()
 
     assert _run(use, permit_s=0.005).connections == 5
 
 
-def test_no_more_connections_rest_than_may_be_busy() -> None:
+def test_idle_connections_are_limited() -> None:
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
         for _ in range(2):
             async with anyio.create_task_group() as group:
@@ -194,7 +194,7 @@
     assert _run(use, permit_s=10.0).connections == 2
 
 
-def test_headers_replace_the_usual_ones() -> None:
+def test_headers_override_the_defaults() -> None:
     async def use(caller: net.HttpCaller, origin: _Origin) -> None:
         await caller.call("GET", "/a?b=c", headers=[("host", "desk.example")])
 
--- a/src/ferryledge/net/tests/test_http_pace.py
+++ b/src/ferryledge/net/tests/test_http_pace.py
@@ -1,4 +1,4 @@
-"""A large answer is read at a pace, and isn't late while it comes."""
+"""Reading of large responses at a limited rate, and its time-out."""
 
 import asyncio
 import typing
@@ -10,13 +10,13 @@
 from ferryledge.net.tests import paused_clock
 
 _PART = b"x" * 1000
-_PARTS = 20
+_PART_COUNT = 20
 _HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 20000\r\n\r\n"
-_SILENCE_S = 1.5
+_TIMEOUT_S = 1.5
 
 
 class _Transport:
-    """Notes when reading was paused and resumed."""
+    """A transport that records when reading is paused and resumed."""
 
     def __init__(self) -> None:
         self.reading = asyncio.Event()
@@ -25,7 +25,7 @@
         self.closed = False
 
     def write(self, data: bytes) -> None:
-        """Take a request."""
+        """Discard the request."""
 
     def pause_reading(self) -> None:
         self.pauses += 1
@@ -41,55 +41,58 @@
         self.closed = True
 
 
-async def _answer(
-    bytes_per_s: float, gap_s: float, parts: int = _PARTS
+async def _respond(
+    bytes_per_s: float, interval_s: float, parts: int = _PART_COUNT
 ) -> tuple[_Transport, float]:
-    """Send an answer in parts to a call; return when it was whole."""
+    """Respond to a call in parts.
+
+    :return: the transport, and the duration of the call in seconds
+    """
     connection = _http_connection.Connection()
     transport = _Transport()
     connection.connection_made(typing.cast(asyncio.Transport, transport))
-    began = anyio.current_time()
+    started_at = anyio.current_time()
 
     async def send() -> None:
         connection.data_received(_HEAD)
         for _ in range(parts):
-            await anyio.sleep(gap_s)
+            await anyio.sleep(interval_s)
             await transport.reading.wait()
             connection.data_received(_PART)
 
     async with anyio.create_task_group() as group:
         group.start_soon(send)
         response = await connection.call(
-            b"", _SILENCE_S, lambda size: bytes_per_s
+            b"", _TIMEOUT_S, lambda size: bytes_per_s
         )
-    assert response.content == _PART * _PARTS
-    return transport, anyio.current_time() - began
+    assert response.content == _PART * _PART_COUNT
+    return transport, anyio.current_time() - started_at
 
 
-def test_answer_is_read_no_faster_than_the_rate() -> None:
-    transport, took_s = paused_clock.run(_answer, 5_000.0, 0.0)
+def test_response_is_read_no_faster_than_the_rate() -> None:
+    transport, duration_s = paused_clock.run(_respond, 5_000.0, 0.0)
     assert transport.pauses
-    assert took_s >= 19_000 / 5_000.0
+    assert duration_s >= 19_000 / 5_000.0
     assert transport.reading.is_set()
 
 
-def test_answer_at_any_rate_is_read_as_it_comes() -> None:
-    transport, took_s = paused_clock.run(_answer, float("inf"), 0.0)
+def test_response_without_a_limit_is_read_without_pauses() -> None:
+    transport, duration_s = paused_clock.run(_respond, float("inf"), 0.0)
     assert not transport.pauses
-    assert took_s == 0.0
+    assert duration_s == 0.0
 
 
-def test_answer_that_comes_is_not_late() -> None:
-    """It took longer than the time for an answer, and was read anew."""
-    _, took_s = paused_clock.run(_answer, float("inf"), 1.0)
-    assert took_s > _SILENCE_S
+def test_response_in_progress_does_not_time_out() -> None:
+    """Guards against a time-out that repeats the read of a large response."""
+    _, duration_s = paused_clock.run(_respond, float("inf"), 1.0)
+    assert duration_s > _TIMEOUT_S
 
 
-def test_answer_that_stops_coming_is_late() -> None:
+def test_stalled_response_times_out() -> None:
     async def main() -> None:
         with pytest.raises(_http_connection.LateAnswerError):
             try:
-                await _answer(float("inf"), 0.1, parts=3)
+                await _respond(float("inf"), 0.1, parts=3)
             except BaseExceptionGroup as group:
                 raise group.exceptions[0] from None
 
--- a/src/ferryledge/net/tests/test_mesh.py
+++ b/src/ferryledge/net/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Streams between two processes, over loopback sockets."""
+"""Streams between two meshes, over loopback sockets."""
 
 from collections import abc
 import contextlib
@@ -21,24 +21,24 @@
 def anyio_backend(
     request: pytest.FixtureRequest,
 ) -> tuple[str, dict[str, bool]]:
-    """Daemons use the native loop."""
+    """Select the loop of asyncio, then uvloop, which daemons use."""
     return "asyncio", {"use_uvloop": request.param}
 
 
 class _Side:
-    """One process's streams, with what came over them."""
+    """The mesh of one process, and the events of its streams."""
 
     def __init__(self, role: wire.Role, name: str) -> None:
         self.events: list[wire.StreamEvent] = []
         self._hello = wire.Hello(role, name, f"{name}.1", "north")
         self.mesh = net.Mesh(_KEYS, lambda: self._hello, self.events.append)
 
-    def seen(self, kind: type) -> int:
-        """Return how many events of a kind came."""
+    def count(self, kind: type) -> int:
+        """Return the number of events of a kind."""
         return sum(isinstance(event, kind) for event in self.events)
 
-    def heard(self, message: wire.Message) -> bool:
-        """Return whether a message came."""
+    def received(self, message: wire.Message) -> bool:
+        """Return whether a message was received."""
         return any(
             isinstance(event, wire.Received) and event.message == message
             for event in self.events
@@ -76,40 +76,40 @@
     await proxy.close()
 
 
-async def test_new_stream_replaces_a_silent_one() -> None:
+async def test_new_stream_replaces_an_unresponsive_one() -> None:
     async with _connected() as pair:
         pair.proxy.silence()
         pair.agent.mesh.send("entry-0", wire.AskLease(1))
         pair.group.start_soon(pair.agent.mesh.reopen, "entry-0")
-        await _until(lambda: pair.agent.seen(wire.PeerUp) == 2)
-        await _until(lambda: pair.entry.seen(wire.PeerUp) == 2)
+        await _until(lambda: pair.agent.count(wire.PeerUp) == 2)
+        await _until(lambda: pair.entry.count(wire.PeerUp) == 2)
         pair.agent.mesh.send("entry-0", wire.AskLease(2))
-        await _until(lambda: pair.entry.heard(wire.AskLease(2)))
+        await _until(lambda: pair.entry.received(wire.AskLease(2)))
         pair.entry.mesh.send("agent-0", wire.GrantLease(2))
-        await _until(lambda: pair.agent.heard(wire.GrantLease(2)))
-        assert not pair.entry.heard(wire.AskLease(1))
-        # The loop that keeps the stream open does not dial a third one.
+        await _until(lambda: pair.agent.received(wire.GrantLease(2)))
+        assert not pair.entry.received(wire.AskLease(1))
+        # The dialling loop doesn't open a third stream.
         await anyio.sleep(0.3)
-        assert pair.agent.seen(wire.PeerUp) == 2
+        assert pair.agent.count(wire.PeerUp) == 2
 
 
-async def test_stream_that_answers_is_kept() -> None:
+async def test_keep_cancels_the_replacement_stream() -> None:
     async with _connected() as pair:
         pair.proxy.weather.delay_s = 0.05
         pair.group.start_soon(pair.agent.mesh.reopen, "entry-0")
         await anyio.sleep(0.02)
         pair.agent.mesh.keep("entry-0")
         pair.agent.mesh.send("entry-0", wire.AskLease(1))
-        await _until(lambda: pair.entry.heard(wire.AskLease(1)))
+        await _until(lambda: pair.entry.received(wire.AskLease(1)))
         await anyio.sleep(0.3)
-        assert pair.agent.seen(wire.PeerUp) == 1
-        assert not pair.agent.seen(wire.PeerDown)
+        assert pair.agent.count(wire.PeerUp) == 1
+        assert not pair.agent.count(wire.PeerDown)
 
 
-async def test_silent_stream_is_dialled_anew_after_it_is_closed() -> None:
+async def test_closed_stream_is_dialled_again() -> None:
     async with _connected() as pair:
         pair.proxy.silence()
         pair.agent.mesh.close("entry-0")
-        await _until(lambda: pair.agent.seen(wire.PeerUp) == 2)
+        await _until(lambda: pair.agent.count(wire.PeerUp) == 2)
         pair.agent.mesh.send("entry-0", wire.AskLease(1))
-        await _until(lambda: pair.entry.heard(wire.AskLease(1)))
+        await _until(lambda: pair.entry.received(wire.AskLease(1)))
--- a/src/ferryledge/net/tests/test_server.py
+++ b/src/ferryledge/net/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Serving HTTP."""
+"""The HTTP server."""
 
 import asyncio
 import gc
@@ -13,14 +13,14 @@
 _REQUEST = b"GET / HTTP/1.1\r\nhost: desk\r\n\r\n"
 
 
-async def _answer(request: net.Request) -> net.HttpResponse:
+async def _handle(request: net.Request) -> net.HttpResponse:
     return net.HttpResponse.json(200, {})
 
 
-def test_address_in_use_is_an_error_and_not_the_end_of_the_process() -> None:
+def test_address_in_use_raises_an_error() -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
-            app = net.asgi_app(_answer)
+            app = net.asgi_app(_handle)
             stop = anyio.Event()
             port = await group.start(net.serve_http, app, "127.0.0.1", 0, stop)
             with pytest.raises(ExceptionGroup) as error:
@@ -31,36 +31,36 @@
     anyio.run(main)
 
 
-def test_released_connections_close_while_new_ones_are_served() -> None:
+def test_release_closes_connections_and_new_ones_are_served() -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
-            app = net.asgi_app(_answer)
+            app = net.asgi_app(_handle)
             release = anyio.Event()
             port = await group.start(
                 net.serve_http, app, "127.0.0.1", 0, anyio.Event(), release
             )
-            unused = await anyio.connect_tcp("127.0.0.1", port)
-            await unused.send(_REQUEST)
-            assert (await unused.receive()).startswith(b"HTTP/1.1 200")
+            first = await anyio.connect_tcp("127.0.0.1", port)
+            await first.send(_REQUEST)
+            assert (await first.receive()).startswith(b"HTTP/1.1 200")
             release.set()
             with pytest.raises(anyio.EndOfStream):
                 while True:
-                    await unused.receive()
-            fresh = await anyio.connect_tcp("127.0.0.1", port)
-            await fresh.send(_REQUEST)
-            assert (await fresh.receive()).startswith(b"HTTP/1.1 200")
-            await unused.aclose()
-            await fresh.aclose()
+                    await first.receive()
+            second = await anyio.connect_tcp("127.0.0.1", port)
+            await second.send(_REQUEST)
+            assert (await second.receive()).startswith(b"HTTP/1.1 200")
+            await first.aclose()
+            await second.aclose()
             group.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-def test_server_ends_with_its_event() -> None:
+def test_server_stops_when_its_event_is_set() -> None:
     async def main() -> None:
         stop = anyio.Event()
         async with anyio.create_task_group() as group:
-            app = net.asgi_app(_answer)
+            app = net.asgi_app(_handle)
             port = await group.start(net.serve_http, app, "127.0.0.1", 0, stop)
             stop.set()
         with pytest.raises(OSError):
@@ -69,49 +69,41 @@
     anyio.run(main)
 
 
-def test_server_without_requests_does_not_wake(
+def test_idle_server_sets_no_timers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A timer each tenth of a second took 20 wake-ups a second at rest.
-
-    An agent serves heartbeats and figures, each with a server of its own,
-    and a heartbeat comes each 1.5 s.
-    """
+    """Guards against the periodic timer of the base class of the server."""
     timers: list[float] = []
 
     async def main() -> None:
         async with anyio.create_task_group() as group:
-            app = net.asgi_app(_answer)
+            app = net.asgi_app(_handle)
             await group.start(
                 net.serve_http, app, "127.0.0.1", 0, anyio.Event()
             )
             loop = asyncio.get_running_loop()
             call_at = loop.call_at
 
-            def count(when: float, *rest: typing.Any, **names: typing.Any):
+            def record(when: float, *args: typing.Any, **kwargs: typing.Any):
                 timers.append(when)
-                return call_at(when, *rest, **names)
+                return call_at(when, *args, **kwargs)
 
-            monkeypatch.setattr(loop, "call_at", count)
+            monkeypatch.setattr(loop, "call_at", record)
             await anyio.sleep(0.35)
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    assert len(timers) == 1  # Only the test's own.
+    assert len(timers) == 1  # The sleep of the test.
 
 
 def test_address_is_free_once_a_server_is_cancelled() -> None:
-    """Its sockets stayed open until they were collected as garbage.
-
-    Two soaks in one process take the same addresses one after the other; the
-    second one ended in "Address already in use" now and then.
-    """
+    """Guards against listening sockets that stay open until collected."""
 
     async def serve_once(port: int) -> int:
         async with anyio.create_task_group() as group:
             bound = await group.start(
                 net.serve_http,
-                net.asgi_app(_answer),
+                net.asgi_app(_handle),
                 "127.0.0.1",
                 port,
                 anyio.Event(),
