--- a/src/ferryledge/net/_http.py
+++ b/src/ferryledge/net/_http.py
@@ -109,7 +109,8 @@
         :param method: the HTTP method
         :param path: path and query
         :param content: the body
-        :param headers: additional headers; they override the default ones
+        :param headers: additional headers; ``host`` and ``content-type``
+            override the defaults
         :param connect_s: time-out for opening a connection, in seconds
         :param answer_s: time-out for the response, in seconds; defaults to
             none
--- a/src/ferryledge/net/_mesh.py
+++ b/src/ferryledge/net/_mesh.py
@@ -220,7 +220,7 @@
             # The peer may already have a stream, for instance one that was
             # dialled as a seed.
             await self._wait_until_closed(address.name)
-            # After forget(), an open stream stays but isn't dialled again.
+            # After ``forget()``, an open stream stays but isn't redialled.
             while self._dial_scopes.get(address.name) is scope:
                 result = await self._dial(address, backoff.max_attempts)
                 delay_s = backoff.delay_s(result)
@@ -332,7 +332,7 @@
             old.close()
             self._unregister(old)
         self._connections[name] = connection
-        # keep() must not cancel a stream that is in use.
+        # ``keep()`` must not cancel a stream that is in use.
         self._reopen_scopes.pop(name, None)
         loguru.logger.debug("stream open", step="join", peer=name)
         self._post_event(wire.PeerUp(connection.hello))
