--- a/src/ferryledge/agent/__init__.py
+++ b/src/ferryledge/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent: the one process that starts tasks on its endpoint."""
+"""The agent process, which alone starts tasks on its endpoint."""
 
 from ferryledge.agent import _command
 from ferryledge.agent import _daemon
--- a/src/ferryledge/agent/_command.py
+++ b/src/ferryledge/agent/_command.py
@@ -19,11 +19,12 @@
 @runtime.settings_options(_settings.AgentSettings)
 @click.version_option(ferryledge.__version__)
 def main(**values: str | None) -> None:
-    """Run the agent beside one endpoint.
+    """Run the agent of one endpoint.
 
     The agent owns the endpoint's slots: it is the only process that starts
-    tasks there. Entries connect to it; it connects to no one but the
-    endpoint. SIGTERM lets running tasks finish, a second one does not.
+    tasks there. Entries connect to it; it connects only to the endpoint.
+    On SIGTERM it takes no new tasks and lets the running ones end; a second
+    SIGTERM stops it at once.
 
     Every setting is a flag or a FERRYLEDGE_* variable.
     """
--- a/src/ferryledge/agent/_daemon.py
+++ b/src/ferryledge/agent/_daemon.py
@@ -1,4 +1,8 @@
-"""The agent's shell: streams, calls to the endpoint, health page."""
+"""The agent process: connects the agent's core to the network.
+
+The core takes all decisions. This module passes it the events of its peers
+and of the endpoint, and carries out the actions that it returns.
+"""
 
 import typing
 
@@ -12,16 +16,19 @@
 from ferryledge import runtime
 
 _DRAIN_POLL_S = 0.02
-#: Seconds that peers get to read the last messages.
-_LINGER_S = 0.1
-_TaskId = tuple[str, int]
+#: Seconds between the last message and the close of the streams, so that peers
+#: can read it.
+_FLUSH_DELAY_S = 0.1
+#: The task's owner and its sequence number there.
+_TaskKey = tuple[str, int]
 
 
 class Agent:
-    """One agent process.
+    """Runs tasks on one endpoint for the entries that connect.
 
-    :param settings: checked settings
-    :param metrics: where it counts; none is nowhere
+    :param settings: validated settings
+    :param metrics: registry for the agent's metrics; without one, ``/metrics``
+        is not served
     """
 
     def __init__(
@@ -52,10 +59,12 @@
             settings.endpoint_url, settings.connections
         )
         self._metrics = metrics
-        self._started = 0
-        self._calls: dict[_TaskId, anyio.CancelScope] = {}
+        self._started_tasks = 0
+        self._calls: dict[_TaskKey, anyio.CancelScope] = {}
         self._group: anyio_abc.TaskGroup | None = None
+        #: Bound TCP port for peers; 0 until :meth:`run` listens on it.
         self.peer_port = 0
+        #: Bound TCP port for HTTP; 0 until :meth:`run` listens on it.
         self.http_port = 0
         if metrics is not None:
             self._add_gauges(metrics)
@@ -66,7 +75,7 @@
         return self._mesh
 
     def unfinished(self) -> str:
-        """Return what is in flight, for the log."""
+        """Describe the unfinished work, for the log."""
         return f"{self._core.running} tasks"
 
     async def run(
@@ -75,7 +84,11 @@
         *,
         task_status: anyio_abc.TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until the event is set and all tasks have ended."""
+        """Serve until the event is set, then drain and return.
+
+        :param drain: set to stop taking tasks
+        :param task_status: reports that both ports are bound
+        """
         settings = self._settings
         stop = anyio.Event()
         async with anyio.create_task_group() as group:
@@ -99,23 +112,23 @@
             )
             task_status.started()
             await drain.wait()
-            await self._finish()
+            await self._drain()
             stop.set()
             group.cancel_scope.cancel()
         await self._endpoint.close()
 
-    async def _finish(self) -> None:
-        """Take no new work; let what runs end and be reported."""
+    async def _drain(self) -> None:
+        """Refuse new tasks and wait up to ``drain_s`` for running ones."""
         self._driver.post(core.DrainRequested())
         with anyio.move_on_after(self._settings.drain_s):
-            # Tickets that clients hold are still good for a while.
+            # Clients may still use the tickets that this agent arbitrates.
             await anyio.sleep(self._settings.ticket_linger_s)
-            while self._busy():
+            while self._is_busy():
                 await anyio.sleep(_DRAIN_POLL_S)
-        await anyio.sleep(_LINGER_S)
+        await anyio.sleep(_FLUSH_DELAY_S)
         loguru.logger.info("agent stopped", step="drain")
 
-    def _busy(self) -> bool:
+    def _is_busy(self) -> bool:
         arbitrating = bool(self._core.arbitrating)
         return arbitrating or not self._core.idle or bool(self._calls)
 
@@ -125,19 +138,19 @@
                 self._mesh.send(peer, message)
             case core.RunTask():
                 assert self._group is not None
-                self._group.start_soon(self._call, action)
+                self._group.start_soon(self._run_task, action)
             case core.StopTask(owner, seq):
                 scope = self._calls.get((owner, seq))
                 if scope is not None:
                     scope.cancel()
             case _:
-                raise TypeError(f"not an agent's action: {action!r}")
+                raise TypeError(f"unsupported action of an agent: {action!r}")
 
-    async def _call(self, task: core.RunTask) -> None:
+    async def _run_task(self, task: core.RunTask) -> None:
         key = (task.owner, task.seq)
         started = anyio.current_time()
         result = _endpoint.TaskResult(False, b"stopped")
-        self._started += 1
+        self._started_tasks += 1
         with anyio.CancelScope() as scope:
             self._calls[key] = scope
             result = await self._endpoint.run(task)
@@ -188,7 +201,7 @@
             "zone": hello.zone,
             "slots": hello.slots,
             "running": self._core.running,
-            "started": self._started,
+            "started": self._started_tasks,
             "leaving": hello.leaving,
             "config_version": hello.config_version,
         }
@@ -202,7 +215,7 @@
         metrics.gauge(
             "tasks_started",
             "Tasks started since the process began.",
-            lambda: float(self._started),
+            lambda: float(self._started_tasks),
         )
         metrics.gauge(
             "streams_refused",
--- a/src/ferryledge/agent/_endpoint.py
+++ b/src/ferryledge/agent/_endpoint.py
@@ -1,4 +1,4 @@
-"""Runs tasks on the endpoint over HTTP."""
+"""Client of the endpoint: runs tasks over HTTP."""
 
 import dataclasses
 import json
@@ -8,27 +8,28 @@
 from ferryledge import core
 from ferryledge import runtime
 
-#: Largest result of a task in bytes.
+#: Maximum size of a task's result in bytes.
 MAX_RESULT_BYTES = 1024 * 1024
-_CONNECT_S = 2.0
+_CONNECT_TIMEOUT_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskResult:
-    """What came of one call."""
+    """The result of one call to the endpoint."""
 
+    #: Whether the task succeeded.
     ok: bool
-    #: The result as JSON text, or the reason of the failure.
+    #: The task's result as JSON text, or the reason of the failure.
     body: bytes
-    #: False only with proof that the endpoint never got the task.
+    #: False only if the endpoint cannot have received the task.
     started: bool = True
 
 
 class EndpointClient:
     """Calls one endpoint.
 
-    :param url: its base address
-    :param connections: most connections at once
+    :param url: base address of the endpoint
+    :param connections: maximum number of connections
     """
 
     def __init__(self, url: str, connections: int) -> None:
@@ -39,7 +40,11 @@
         await self._caller.close()
 
     async def run(self, task: core.RunTask) -> TaskResult:
-        """Call the endpoint once and return what came of it."""
+        """Run a task with one call, which is never repeated.
+
+        :param task: the task and its timeout
+        :return: the result; failures are returned, not raised
+        """
         headers = [
             ("x-ferryledge-submission", task.submission),
             ("x-ferryledge-task", str(task.index)),
@@ -49,22 +54,22 @@
         try:
             with anyio.fail_after(task.timeout_s):
                 response = await self._caller.call(
-                    "POST", path, task.payload, headers, _CONNECT_S
+                    "POST", path, task.payload, headers, _CONNECT_TIMEOUT_S
                 )
         except runtime.ConnectError as exc:
-            return TaskResult(False, _reason(exc), started=False)
+            return TaskResult(False, _describe_error(exc), started=False)
         except TimeoutError:
             return TaskResult(False, b"timeout")
         except runtime.CallError as exc:
-            return TaskResult(False, _reason(exc))
-        return _checked(response.status, response.content)
+            return TaskResult(False, _describe_error(exc))
+        return _check_response(response.status, response.content)
 
 
-def _reason(exc: Exception) -> bytes:
+def _describe_error(exc: Exception) -> bytes:
     return f"{type(exc).__name__}: {exc}".encode()
 
 
-def _checked(status: int, content: bytes) -> TaskResult:
+def _check_response(status: int, content: bytes) -> TaskResult:
     if status != 200:
         return TaskResult(False, f"status {status}".encode())
     if len(content) > MAX_RESULT_BYTES:
--- a/src/ferryledge/agent/_settings.py
+++ b/src/ferryledge/agent/_settings.py
@@ -13,18 +13,21 @@
         description="Base address of the endpoint, http://HOST:PORT.",
     )
     slots: int = pydantic.Field(
-        default=8, ge=1, le=4096, description="Tasks that run at once."
+        default=8,
+        ge=1,
+        le=4096,
+        description="Maximum number of tasks that run at once.",
     )
     connections: int = pydantic.Field(
         default=64,
         ge=1,
         le=4096,
-        description="HTTP connections to the endpoint.",
+        description="Maximum number of HTTP connections to the endpoint.",
     )
     memory_mb: int = pydantic.Field(
         default=0,
         ge=0,
-        description="Memory for tasks in MB; 0 is not counted.",
+        description="Memory for tasks in MB; 0 is unlimited.",
     )
     ticket_life_s: float = pydantic.Field(
         default=900.0,
@@ -39,10 +42,10 @@
     ticket_linger_s: float = pydantic.Field(
         default=2.0,
         ge=0,
-        description="Seconds of a planned stop for tickets that are out.",
+        description="Seconds of a drain in which tickets stay valid.",
     )
     drain_s: float = pydantic.Field(
         default=60.0,
         gt=0,
-        description="Longest planned stop in seconds.",
+        description="Maximum duration of a drain in seconds.",
     )
