--- a/src/ferryledge/agent/_endpoint.py
+++ b/src/ferryledge/agent/_endpoint.py
@@ -33,7 +33,7 @@
     """
 
     def __init__(self, url: str, connections: int) -> None:
-        self._caller = runtime.HttpCaller(url, connections)
+        self._caller = runtime.HttpClient(url, connections)
 
     async def close(self) -> None:
         """Close all connections."""
--- a/src/ferryledge/bench/_live.py
+++ b/src/ferryledge/bench/_live.py
@@ -31,7 +31,7 @@
 
 
 async def _direct(url: str) -> list[float]:
-    caller = runtime.HttpCaller(url, 1)
+    caller = runtime.HttpClient(url, 1)
     body = json.dumps({"sleep_ms": _SLEEP_MS}).encode()
     times = []
     for _ in range(_CALLS):
--- a/src/ferryledge/capacity/_leased.py
+++ b/src/ferryledge/capacity/_leased.py
@@ -63,8 +63,8 @@
         if not isinstance(action, leases.SendMessage):
             continue
         sent += len(wire.encode(action.message))
-        if isinstance(action.message, wire.AskLease):
-            grant = wire.encode(wire.GrantLease(action.message.number))
+        if isinstance(action.message, wire.GrantRequest):
+            grant = wire.encode(wire.LeaseGrant(action.message.number))
             answer = wire.Received(action.peer, _tools.decode(grant))
             agent.receive(now, answer)
     return sent
@@ -107,7 +107,7 @@
         for run in runs:
             ends += 1
             key = leases.RunKey.of(job, run)
-            end = leases.ListedEnd(ends, key, wire.HowEnded.DONE)
+            end = leases.ListedEnd(ends, key, wire.RunOutcome.DONE)
             agent.receive(now, _renewed(now, (), (end,)))
             _answer_asks(agent, now)
     return orders
@@ -134,7 +134,7 @@
 
 def _hear_asks(entry: leases.LeaseEntry, now: float, agents: int) -> None:
     for number in range(agents):
-        ask = _tools.decode(wire.encode(wire.AskLease(int(now * 1000.0))))
+        ask = _tools.decode(wire.encode(wire.GrantRequest(int(now * 1000.0))))
         entry.receive(now, wire.Received(f"agent-{number}", ask))
         for action in entry.tick(now):
             if isinstance(action, leases.SendMessage):
@@ -180,7 +180,7 @@
     if not isinstance(order, wire.OrderRuns):
         return
     for run in order.runs:
-        end = wire.RunEnd(run, wire.HowEnded.DONE, _RUN_S)
+        end = wire.RunEnd(run, wire.RunOutcome.DONE, _RUN_S)
         data = wire.encode(wire.RunsEnded(order.job, (end,)))
         entry.receive(now, wire.Received(action.peer, _tools.decode(data)))
     state = _tools.decode(wire.encode(_state(order.number)))
@@ -190,8 +190,8 @@
 def _idle_bytes(streams: int) -> float:
     """Return the bytes a second, both ways, of streams without runs."""
     timing = leases.LeaseTiming()
-    ask = len(wire.encode(wire.AskLease(100_000))) + _tools.PACKET_BYTES
-    grant = len(wire.encode(wire.GrantLease(100_000)))
+    ask = len(wire.encode(wire.GrantRequest(100_000))) + _tools.PACKET_BYTES
+    grant = len(wire.encode(wire.LeaseGrant(100_000)))
     grant += _tools.PACKET_BYTES
     a_stream = ask / timing.idle_ask_every_s
     a_stream += grant / timing.idle_answer_every_s
--- a/src/ferryledge/capacity/_measure.py
+++ b/src/ferryledge/capacity/_measure.py
@@ -142,7 +142,7 @@
         "0123456789.1",
         "workspace",
         "service",
-        (wire.FrontTask(_PAYLOAD, 0.1),) * tasks,
+        (wire.PlacedTask(_PAYLOAD, 0.1),) * tasks,
         label="request-1",
     )
     indices = tuple(range(tasks))
--- a/src/ferryledge/cli/_config.py
+++ b/src/ferryledge/cli/_config.py
@@ -32,7 +32,7 @@
     verdicts: list[configlog.Verdict] = []
     while True:
         page = await client.read(follower.position, 0.0)
-        verdicts += follower.accept(page, time.monotonic())
+        verdicts += follower.apply_page(page, time.monotonic())
         if not follower.lag or not page.records:
             return follower, verdicts
 
@@ -117,7 +117,7 @@
             except runtime.PlatformError:
                 await anyio.sleep(_POLL_S)
                 continue
-            for verdict in follower.accept(page, time.monotonic()):
+            for verdict in follower.apply_page(page, time.monotonic()):
                 match verdict:
                     case configlog.Accepted(change.id, version):
                         return Publication(True, version, "in force")
--- a/src/ferryledge/client/_client.py
+++ b/src/ferryledge/client/_client.py
@@ -72,7 +72,7 @@
             raise UnreachableError("at least one entry address is required")
         self._options = options or ClientOptions()
         self._callers = [
-            runtime.HttpCaller(url, self._options.connections) for url in urls
+            runtime.HttpClient(url, self._options.connections) for url in urls
         ]
         self._start_indexes = itertools.count()
         self._spare_tickets: collections.deque[tuple[str, float]] = (
@@ -162,7 +162,7 @@
             return reply.retry_after_s
         return _DEFAULT_DELAY_S * (1.0 + random.random())
 
-    def _caller(self, index: int) -> runtime.HttpCaller:
+    def _caller(self, index: int) -> runtime.HttpClient:
         """Return the HTTP caller of one entry, in round-robin order.
 
         The attempts of one job use successive indexes, so that every other
@@ -172,7 +172,7 @@
 
     async def _attempt(
         self,
-        caller: runtime.HttpCaller,
+        caller: runtime.HttpClient,
         job: _model.Job,
         request_id: str,
         ticket: str,
--- a/src/ferryledge/configlog/__init__.py
+++ b/src/ferryledge/configlog/__init__.py
@@ -21,7 +21,7 @@
 EARLIER_KINDS = _earlier_names.KINDS
 EARLIER_SETTINGS = _earlier_names.SETTINGS
 FORMAT = _entities.FORMAT
-EMPTY = _entities.EMPTY_SNAPSHOT
+EMPTY_SNAPSHOT = _entities.EMPTY_SNAPSHOT
 Entity = _entities.Entity
 EntityKey = _entities.EntityKey
 Follower = _follower.Follower
@@ -48,7 +48,7 @@
 __all__ = [
     "EARLIER_KINDS",
     "EARLIER_SETTINGS",
-    "EMPTY",
+    "EMPTY_SNAPSHOT",
     "FORMAT",
     "Accepted",
     "AuditEntry",
--- a/src/ferryledge/configlog/_follower.py
+++ b/src/ferryledge/configlog/_follower.py
@@ -111,7 +111,7 @@
             self._state = FollowerState.FOLLOWING
         return True
 
-    def accept(self, page: LogPage, now: float) -> list[_fold.Verdict]:
+    def apply_page(self, page: LogPage, now: float) -> list[_fold.Verdict]:
         """Apply the records of one page.
 
         :param page: a page read from :attr:`position`
--- a/src/ferryledge/configlog/tests/test_fold.py
+++ b/src/ferryledge/configlog/tests/test_fold.py
@@ -26,7 +26,7 @@
 
 def follow(records, **options):
     follower = configlog.Follower()
-    verdicts = follower.accept(page(records, **options), 0.0)
+    verdicts = follower.apply_page(page(records, **options), 0.0)
     return follower, verdicts
 
 
@@ -78,8 +78,8 @@
         change("c", 2),
     ]
     joined = configlog.Follower()
-    joined.accept(page(records, first=2), 0.0)
-    joined.accept(page(records, first=2, start=joined.position), 0.0)
+    joined.apply_page(page(records, first=2), 0.0)
+    joined.apply_page(page(records, first=2, start=joined.position), 0.0)
     complete, _ = follow(records)
     assert joined.snapshot == complete.snapshot
     assert joined.snapshot.version == 3
@@ -102,7 +102,7 @@
 
 def test_replaced_log_does_not_revert_the_configuration():
     follower, _ = follow([change("a", 0), change("b", 1)])
-    follower.accept(page([change("x", 0)], log_id="other"), 1.0)
+    follower.apply_page(page([change("x", 0)], log_id="other"), 1.0)
     assert follower.snapshot.version == 2
     assert follower.state is configlog.FollowerState.REPLACED
 
@@ -117,7 +117,7 @@
         change("c", 2),
     ]
     for _ in range(3):
-        follower.accept(
+        follower.apply_page(
             page(records, log_id="other", start=follower.position), 1.0
         )
     assert follower.snapshot.version == 3
@@ -142,11 +142,11 @@
 def test_checkpoint_becomes_due_by_count_and_by_age():
     policy = configlog.CheckpointPolicy(max_records=2, max_age_s=10.0)
     follower = configlog.Follower(policy)
-    follower.accept(page([change("a", 0)]), 0.0)
+    follower.apply_page(page([change("a", 0)]), 0.0)
     assert not follower.checkpoint_due(1.0)
     assert follower.checkpoint_due(11.0)
     records = [change("a", 0), change("b", 1)]
-    follower.accept(page(records, start=1), 2.0)
+    follower.apply_page(page(records, start=1), 2.0)
     assert follower.checkpoint_due(2.0)
 
 
@@ -171,7 +171,7 @@
         configlog.LogRecord(1, valid),
     )
     follower = configlog.Follower()
-    verdicts = follower.accept(configlog.LogPage("l", 0, 2, records), 0.0)
+    verdicts = follower.apply_page(configlog.LogPage("l", 0, 2, records), 0.0)
     assert "invalid record" in verdicts[0].reason
     assert follower.snapshot.version == 1
 
@@ -205,7 +205,7 @@
     while paged.position < len(records):
         rest = page(records, start=paged.position)
         short = dataclasses.replace(rest, records=rest.records[:size])
-        paged.accept(short, 0.0)
+        paged.apply_page(short, 0.0)
         versions.append(paged.snapshot.version)
     assert paged.snapshot == complete.snapshot
     assert versions == sorted(versions)
--- a/src/ferryledge/core/_answering.py
+++ b/src/ferryledge/core/_answering.py
@@ -86,7 +86,7 @@
         settle = wire.Settle(
             ticket, job.submission, _convert.record_of(answer)
         )
-        self._state.peers.send(now, ledger.minter_of(ticket), settle)
+        self._state.peers.send(now, ledger.issuer_of(ticket), settle)
 
     def forget(self, job: _jobs.Job) -> None:
         """Drop a job and give back what it takes."""
--- a/src/ferryledge/core/_arbiter.py
+++ b/src/ferryledge/core/_arbiter.py
@@ -46,7 +46,7 @@
     ) -> None:
         """Answer a message about tickets; others are passed over."""
         match message:
-            case wire.AskTickets(count):
+            case wire.TicketRequest(count):
                 minted = self._tickets.mint(min(count, _MAX_MINTED), now)
                 self._send(now, owner, wire.Tickets(minted))
             case wire.Authorise():
--- a/src/ferryledge/core/_endpoints.py
+++ b/src/ferryledge/core/_endpoints.py
@@ -75,7 +75,7 @@
     def _reconcile(self, now: float, row: placement.EndpointRow) -> None:
         for job in list(self._state.jobs.values()):
             asked = job.ticket_use is _jobs.TicketUse.ASKED
-            if asked and ledger.minter_of(job.message.ticket) == row.name:
+            if asked and ledger.issuer_of(job.message.ticket) == row.name:
                 self._ticketing.authorise(now, job, row)
         if not row.bound:
             return
@@ -91,7 +91,7 @@
         submissions = {one.submission for one in row.bound.values()}
         for job in self._state.jobs.values():
             asked = job.ticket_use is _jobs.TicketUse.ASKED
-            if asked and ledger.minter_of(job.message.ticket) == row.name:
+            if asked and ledger.issuer_of(job.message.ticket) == row.name:
                 submissions.add(job.submission)
         self._state.table.drop(row.name)
         self._state.health_tracker.leave(row.name)
--- a/src/ferryledge/core/_entry.py
+++ b/src/ferryledge/core/_entry.py
@@ -54,7 +54,7 @@
         self._tickets = _ticket_stock.TicketStock(
             options, self._peers, self._front, self._scheduler, rng
         )
-        self._rulebook = _rulebook.Rulebook(configlog.EMPTY)
+        self._rulebook = _rulebook.Rulebook(configlog.EMPTY_SNAPSHOT)
         self._reaches: dict[str, _reach.Reach] = {}
         self._own_group = _reach.Group(set())
         self._reachable_cache: frozenset[str] | None = None
@@ -157,7 +157,7 @@
             self._scheduler.waiting,
             round(self._scheduler.table.load, 3),
         )
-        return self._peers.take_actions()
+        return self._peers.pop_actions()
 
     def wake_at(self) -> float:
         """Return when to tick at the latest, in monotonic seconds."""
--- a/src/ferryledge/core/_front.py
+++ b/src/ferryledge/core/_front.py
@@ -98,7 +98,7 @@
 
     def drop_tickets(self, minter: str) -> None:
         """Forget the tickets of an agent that is gone."""
-        kept = [t for t in self._tickets if ledger.minter_of(t) != minter]
+        kept = [t for t in self._tickets if ledger.issuer_of(t) != minter]
         self._tickets = collections.deque(kept)
 
     def find(
@@ -235,7 +235,7 @@
             request.workspace,
             request.service,
             tuple(
-                wire.FrontTask(
+                wire.PlacedTask(
                     request.tasks[i].payload, request.tasks[i].declared_s
                 )
                 for i in indices
--- a/src/ferryledge/core/_peers.py
+++ b/src/ferryledge/core/_peers.py
@@ -98,7 +98,7 @@
         """Queue another action."""
         self._actions.append(action)
 
-    def take_actions(self) -> list[_actions.Action]:
+    def pop_actions(self) -> list[_actions.Action]:
         """Return the queued actions and forget them."""
         actions = self._actions
         self._actions = []
--- a/src/ferryledge/core/_pool_state.py
+++ b/src/ferryledge/core/_pool_state.py
@@ -30,7 +30,7 @@
     trace: _trace.Trace
     queue: placement.WaitingQueue
     rulebook: _rulebook.Rulebook = dataclasses.field(
-        default_factory=lambda: _rulebook.Rulebook(configlog.EMPTY)
+        default_factory=lambda: _rulebook.Rulebook(configlog.EMPTY_SNAPSHOT)
     )
     table: placement.EndpointTable = dataclasses.field(
         default_factory=placement.EndpointTable
--- a/src/ferryledge/core/_routing.py
+++ b/src/ferryledge/core/_routing.py
@@ -90,7 +90,7 @@
         agents = self._peers.of_role(wire.Role.AGENT)
         pools = placement.pool_count(len(agents), self._options.pool_size)
         if request.ticket:
-            minter = ledger.minter_of(request.ticket)
+            minter = ledger.issuer_of(request.ticket)
             pool = placement.pool_of(minter, pools)
         else:
             pool = self._choose_pool(pools)
--- a/src/ferryledge/core/_ticket_stock.py
+++ b/src/ferryledge/core/_ticket_stock.py
@@ -64,4 +64,4 @@
         chosen = self._rng.sample(agents, min(4, len(agents)))
         count = max(1, (self._wanted - stock) // len(chosen))
         for name in chosen:
-            self._peers.send(now, name, wire.AskTickets(count))
+            self._peers.send(now, name, wire.TicketRequest(count))
--- a/src/ferryledge/core/_ticketing.py
+++ b/src/ferryledge/core/_ticketing.py
@@ -55,7 +55,7 @@
         self, now: float, job: _jobs.Job
     ) -> placement.EndpointRow | None:
         """Return the agent that minted the job's ticket, or fail the job."""
-        row = self._state.table.find(ledger.minter_of(job.message.ticket))
+        row = self._state.table.find(ledger.issuer_of(job.message.ticket))
         if row is not None and row.connected:
             return row
         self._answering.fail(
--- a/src/ferryledge/core/tests/test_agent.py
+++ b/src/ferryledge/core/tests/test_agent.py
@@ -153,7 +153,7 @@
 
 
 def test_a_ticket_runs_one_submission_and_keeps_its_answer(driver):
-    (minted,) = sent(driver.say(wire.AskTickets(1)), wire.Tickets)
+    (minted,) = sent(driver.say(wire.TicketRequest(1)), wire.Tickets)
     (ticket,) = minted.tickets
     assert runs(driver.start(0, ticket=ticket, label="digest")) == [0]
     (verdict,) = sent(
@@ -168,7 +168,7 @@
 
 
 def test_a_lost_schedulers_tickets_are_settled_after_a_while(driver):
-    (minted,) = sent(driver.say(wire.AskTickets(1)), wire.Tickets)
+    (minted,) = sent(driver.say(wire.TicketRequest(1)), wire.Tickets)
     (ticket,) = minted.tickets
     driver.say(wire.Authorise(ticket, "f.1", "digest"))
     driver.do(core.PeerDown("e", "e1"))
--- a/src/ferryledge/core/tests/test_entry.py
+++ b/src/ferryledge/core/tests/test_entry.py
@@ -228,7 +228,7 @@
     def place():
         nonlocal number
         number += 1
-        job = wire.PlaceJob(f"f.{number}", "t", "s", (wire.FrontTask(b"1"),))
+        job = wire.PlaceJob(f"f.{number}", "t", "s", (wire.PlacedTask(b"1"),))
         return starts(driver.say("entry-2", job))
 
     driver.say("entry-2", wire.AgentSet(("agent-2/a",)))
--- a/src/ferryledge/demo/__main__.py
+++ b/src/ferryledge/demo/__main__.py
@@ -124,7 +124,7 @@
         await cluster.start(group)
         _say(f"serving at {', '.join(cluster.urls)}")
         summary = await _drive(cluster)
-        versions = {one.decisions.rulebook.version for one in cluster.entries}
+        versions = {one.entry_core.rulebook.version for one in cluster.entries}
         _say(f"configuration versions in force at the end: {versions}")
         group.cancel_scope.cancel()
     return summary
--- a/src/ferryledge/demo/_cluster.py
+++ b/src/ferryledge/demo/_cluster.py
@@ -79,7 +79,7 @@
         """Publish entities as a change on top of the newest version."""
         client = runtime.PlatformClient(self.platform_url)
         follower = configlog.Follower()
-        follower.accept(await client.read(0, 0.0), anyio.current_time())
+        follower.apply_page(await client.read(0, 0.0), anyio.current_time())
         change = configlog.change_between(
             follower.snapshot,
             entities,
@@ -177,7 +177,7 @@
     async def _until_ready(self) -> None:
         peers = self._options.entries - 1 + self._options.agents
         for one in self.entries:
-            while not one.decisions.ready:
+            while not one.entry_core.ready:
                 await anyio.sleep(_POLL_S)
-            while len(list(one.decisions.peers)) < peers:
+            while len(list(one.entry_core.peers)) < peers:
                 await anyio.sleep(_POLL_S)
--- a/src/ferryledge/entry/_daemon.py
+++ b/src/ferryledge/entry/_daemon.py
@@ -95,7 +95,7 @@
             _status.add_gauges(metrics, self._core, self._mesh)
 
     @property
-    def decisions(self) -> core.EntryCore:
+    def entry_core(self) -> core.EntryCore:
         """The core that takes this entry's decisions."""
         return self._core
 
--- a/src/ferryledge/entry/_platform.py
+++ b/src/ferryledge/entry/_platform.py
@@ -99,7 +99,7 @@
     def _fold(self, page: configlog.LogPage) -> None:
         previous_version = self._follower.snapshot.version
         previous_state = self._follower.state
-        for verdict in self._follower.accept(page, anyio.current_time()):
+        for verdict in self._follower.apply_page(page, anyio.current_time()):
             loguru.logger.info("config record: {}", verdict, step="fold")
         if self._follower.state is not previous_state:
             loguru.logger.info(
@@ -215,7 +215,7 @@
         for name in list(self._dialled):
             if name not in names:
                 del self._dialled[name]
-                self._mesh.forget(name)
+                self._mesh.stop_dialling(name)
 
     def _forget_if_moved(self, vm: runtime.VmRecord) -> None:
         """Stop dialling a VM's previous address."""
@@ -223,7 +223,7 @@
         if previous is None:
             return
         if (previous.host, previous.port) != (vm.host, vm.port):
-            self._mesh.forget(vm.name)
+            self._mesh.stop_dialling(vm.name)
 
 
 def _vms_listed(vms: list[runtime.VmRecord]) -> core.VmsListed:
--- a/src/ferryledge/harness/_log.py
+++ b/src/ferryledge/harness/_log.py
@@ -137,7 +137,7 @@
             page = self._log.read(self.follower.position)
             if page is None:
                 return
-            self.follower.accept(page, self._clock.now)
+            self.follower.apply_page(page, self._clock.now)
         if self.follower.snapshot.version != version:
             self._publish()
         self._checkpoint()
--- a/src/ferryledge/hosted/_agent.py
+++ b/src/ferryledge/hosted/_agent.py
@@ -77,7 +77,7 @@
         settings = self._settings
         self._registry = _metrics.Registry("agent")
         timing = leases.LeaseTiming.within(
-            settings.longest_lease_s, settings.stop_s
+            settings.max_lease_s, settings.max_stop_s
         )
         self._core = leases.LeaseAgent(
             settings.node,
@@ -240,7 +240,7 @@
             case leases.ReopenStream(peer):
                 group.start_soon(self._mesh.reopen, peer)
             case leases.CancelReopen(peer):
-                self._mesh.keep(peer)
+                self._mesh.cancel_reopen(peer)
             case leases.DialEntries(entries):
                 self._dialler.forget_seeds()
                 self._dialler.dial(group, entries)
--- a/src/ferryledge/hosted/_config.py
+++ b/src/ferryledge/hosted/_config.py
@@ -198,7 +198,7 @@
 
     async def _read_cordons(self) -> platform.KeyedPage:
         """Read the records of all other keys, which are small."""
-        page = await self._store.newest(
+        page = await self._store.read_newest(
             platform.CONFIG_TOPIC, after=platform.CONFIG_KEY
         )
         if self._log.apply_others(page):
@@ -218,7 +218,7 @@
                     return
             if first == self._log.next_offset:
                 return
-        page = await self._store.newest(
+        page = await self._store.read_newest(
             platform.CONFIG_TOPIC, rate=self._start_read
         )
         if self._log.apply_all(page):
--- a/src/ferryledge/hosted/_endpoint_record.py
+++ b/src/ferryledge/hosted/_endpoint_record.py
@@ -42,7 +42,7 @@
     async def load(self) -> leases.EndpointHeartbeat | None:
         """Return the heartbeat that was saved last, or none."""
         page = await _members.retry_until_answered(
-            lambda: self._store.newest(ENDPOINTS_TOPIC, self._partition)
+            lambda: self._store.read_newest(ENDPOINTS_TOPIC, self._partition)
         )
         for record in page.records:
             if record.key == self._name and record.value:
--- a/src/ferryledge/hosted/_entry.py
+++ b/src/ferryledge/hosted/_entry.py
@@ -74,7 +74,7 @@
             settings.zone,
             random.Random(settings.node),
             leases.LeaseTiming.within(
-                settings.longest_lease_s, settings.stop_s
+                settings.max_lease_s, settings.max_stop_s
             ),
             remote_factor=settings.bounds.far_x,
             meter=_metrics.EntryMetrics(self._registry),
@@ -258,7 +258,7 @@
         config = self._config.current
         if config is None:
             reason = outcomes.Reason.NO_CONFIGURATION
-            return platform.refusal(reason, _RETRY_S)
+            return platform.render_refusal(reason, _RETRY_S)
         hostname = request.header("host").partition(":")[0].lower()
         route = config.find(hostname, request.path)
         if route is None:
@@ -302,7 +302,7 @@
             loguru.logger.info(
                 "refused, not run: this process ends", step="admit", job=name
             )
-            return platform.refusal(outcomes.Reason.DRAINING, _RETRY_S)
+            return platform.render_refusal(outcomes.Reason.DRAINING, _RETRY_S)
         try:
             deadline_s = platform.parse_deadline(request.header("deadline-ms"))
             job = platform.parse_job(name, body, route.job_class, deadline_s)
@@ -312,7 +312,9 @@
             )
         except platform.UnsupportedJobError as exc:
             loguru.logger.warning("{}", exc, step="submit", job=name)
-            return platform.refusal(outcomes.Reason.IMPOSSIBLE, 0.0, str(exc))
+            return platform.render_refusal(
+                outcomes.Reason.IMPOSSIBLE, 0.0, str(exc)
+            )
         outcome = await self._run_job(request, job)
         response = platform.render_outcome(outcome)
         if self._draining or not self._core.is_usable(self._driver.now()):
--- a/src/ferryledge/hosted/_members.py
+++ b/src/ferryledge/hosted/_members.py
@@ -96,7 +96,7 @@
     """
     store = platform.StoreClient(address)
     try:
-        return await store.newest(topic, partition)
+        return await store.read_newest(topic, partition)
     finally:
         await store.close()
 
@@ -127,7 +127,7 @@
                 offset = page.next_offset
         await anyio.sleep(RETRY_S)
         with contextlib.suppress(platform.StoreError):
-            page = await store.newest(MEMBERS_TOPIC)
+            page = await store.read_newest(MEMBERS_TOPIC)
             on_entries(_decode(page.records))
             offset = page.next_offset
 
@@ -160,7 +160,7 @@
             ):
                 continue
             if entry.name in self._hosts:
-                self._mesh.forget(entry.name)
+                self._mesh.stop_dialling(entry.name)
             self._hosts[entry.name] = entry
             address = net.PeerAddress(entry.name, entry.host, entry.port)
             group.start_soon(self._mesh.keep_dialling, address)
@@ -168,7 +168,7 @@
     def drop(self, name: str) -> None:
         """Stop dialling an entry and close the stream to it."""
         self._hosts.pop(name, None)
-        self._mesh.forget(name)
+        self._mesh.stop_dialling(name)
         self._mesh.close(name)
 
     def dial_seeds(
@@ -187,5 +187,5 @@
     def forget_seeds(self) -> None:
         """Stop dialling seeds, since entries are known by name."""
         for seed in self._seeds:
-            self._mesh.forget(seed)
+            self._mesh.stop_dialling(seed)
         self._seeds.clear()
--- a/src/ferryledge/hosted/_metrics.py
+++ b/src/ferryledge/hosted/_metrics.py
@@ -149,11 +149,11 @@
         """Count ordered runs."""
         self._orders.add(count)
 
-    def not_started(self, reason: wire.NotStarted) -> None:
+    def not_started(self, reason: wire.RunReleaseReason) -> None:
         """Count a run that an agent did not start."""
         self._released.add(1, str(reason))
 
-    def ended(self, how: wire.HowEnded) -> None:
+    def ended(self, how: wire.RunOutcome) -> None:
         """Count a run's end."""
         self._ended.add(1, str(how))
 
@@ -211,7 +211,7 @@
         """Count runs that were accepted or released."""
         self._orders.add(count, reason)
 
-    def over(self, how: wire.HowEnded, held_s: float) -> None:
+    def run_ended(self, how: wire.RunOutcome, held_s: float) -> None:
         """Count a run's end."""
         self._runs_over.add(1, str(how))
         self._run_time.observe(held_s)
--- a/src/ferryledge/hosted/_reload.py
+++ b/src/ferryledge/hosted/_reload.py
@@ -18,5 +18,5 @@
     except platform.SettingsError as exc:
         loguru.logger.error("settings not reloaded: {}", exc, step="reload")
         return settings
-    store.move(changed.store.address)
+    store.set_address(changed.store.address)
     return changed
--- a/src/ferryledge/hosted/tests/slow_store.py
+++ b/src/ferryledge/hosted/tests/slow_store.py
@@ -26,7 +26,7 @@
         self.grown.set()
         self.grown = anyio.Event()
 
-    async def newest(
+    async def read_newest(
         self,
         topic: str,
         partition: int = 0,
@@ -49,7 +49,7 @@
         topic: str,
         offset: int,
         wait_s: float,
-        most_kb: int = 1024,
+        max_kb: int = 1024,
         rate: platform.Rate | None = None,
     ) -> platform.KeyedPage:
         """Return records from an offset on; wait for the first of them."""
@@ -57,7 +57,7 @@
             while len(self.log) <= offset:
                 await self.grown.wait()
         end = len(self.log)
-        most = 1 if most_kb == 1 else 5
+        most = 1 if max_kb == 1 else 5
         records = tuple(
             platform.KeyedRecord(key, value, number)
             for number, (key, value) in enumerate(self.log)
--- a/src/ferryledge/hosted/tests/test_operators.py
+++ b/src/ferryledge/hosted/tests/test_operators.py
@@ -109,7 +109,7 @@
             net.serve_http, net.asgi_app(handle), "127.0.0.1", 0, anyio.Event()
         )
         store = platform.StoreClient(f"127.0.0.1:{port}")
-        page = await store.newest(_TOPIC)
+        page = await store.read_newest(_TOPIC)
         group.cancel_scope.cancel()
     assert [record.key for record in page.records] == ["a", "b"]
     assert page.next_offset == 5
--- a/src/ferryledge/leases/_acceptance.py
+++ b/src/ferryledge/leases/_acceptance.py
@@ -59,22 +59,22 @@
 
     def refusal(
         self, now: float, owner: _owners.Owner, order: wire.OrderRuns
-    ) -> wire.NotStarted | None:
+    ) -> wire.RunReleaseReason | None:
         """Return why an order is refused; none if it isn't.
 
         Capacity isn't checked here, but for each run.
         """
         if order.expected_s * _timing.RUN_MARGIN > self._time_left(now):
-            return wire.NotStarted.LEAVING
+            return wire.RunReleaseReason.LEAVING
         if order.endpoint != self._link.incarnation:
-            return wire.NotStarted.ENDPOINT
+            return wire.RunReleaseReason.ENDPOINT
         if self._cordons.covers(self._zone):
             # The entry may be partitioned and not know of the cordon.
-            return wire.NotStarted.CORDONED
+            return wire.RunReleaseReason.CORDONED
         if not self.is_open(now):
-            return wire.NotStarted.LEAVING
+            return wire.RunReleaseReason.LEAVING
         if not self._owners.has_grant(owner, now):
-            return wire.NotStarted.NO_ANSWER
+            return wire.RunReleaseReason.NO_ANSWER
         return None
 
     def is_open(self, now: float) -> bool:
--- a/src/ferryledge/leases/_agent.py
+++ b/src/ferryledge/leases/_agent.py
@@ -121,7 +121,7 @@
 
     def pop_notes(self) -> list[_notes.Note]:
         """Return and clear the notes since the last call, for the log."""
-        return self._notes.take()
+        return self._notes.pop()
 
     def hello(self) -> wire.Hello:
         """Return the first message of a new stream."""
@@ -156,7 +156,7 @@
         Frequent events are exempted, which saves most of the ticks.
         """
         match event:
-            case wire.Received(_, wire.GrantLease()):
+            case wire.Received(_, wire.LeaseGrant()):
                 return True
             case _agent_events.StartAnswered():
                 return event.result is _agent_events.StartResult.STARTED
@@ -262,11 +262,11 @@
                     )
             case wire.ClaimRuns(runs):
                 self._on_claim(owner, runs)
-            case wire.RoomWanted(start_by_s):
+            case wire.UrgencyReport(start_by_s):
                 owner.latest_start = now + (
                     _NEVER if start_by_s is None else start_by_s
                 )
-            case wire.GrantLease(number, shorten_by_ms):
+            case wire.LeaseGrant(number, shorten_by_ms):
                 self._watch.note_answer(now, owner, number)
                 self._owners.note_grant(owner, number, shorten_by_ms)
             case wire.CordonedZones():
@@ -299,7 +299,7 @@
             return
         spec = _spec_of(order)
         if spec is None:
-            self._refuse(now, owner, order, wire.NotStarted.REJECTED)
+            self._refuse(now, owner, order, wire.RunReleaseReason.REJECTED)
             return
         refused = []
         started = 0
@@ -321,7 +321,7 @@
         )
         if refused:
             self._reports.report_released(
-                owner, order.job, refused, wire.NotStarted.FULL
+                owner, order.job, refused, wire.RunReleaseReason.FULL
             )
 
     def _refuse(
@@ -329,7 +329,7 @@
         now: float,
         owner: _owners.Owner,
         order: wire.OrderRuns,
-        reason: wire.NotStarted,
+        reason: wire.RunReleaseReason,
     ) -> None:
         """Refuse all runs of an order."""
         self._notes.order_refused(now, owner, order, reason)
--- a/src/ferryledge/leases/_agent_events.py
+++ b/src/ferryledge/leases/_agent_events.py
@@ -83,7 +83,7 @@
     #: Sequence number of the endpoint's ends, from 1.
     number: int
     key: _runs.RunKey
-    how: wire.HowEnded
+    how: wire.RunOutcome
 
 
 class LeaseRenewed(wire.Event, frozen=True):
@@ -211,7 +211,7 @@
     lease_until_ms: int
     token: int
     #: Timeout of the call in seconds.
-    answer_s: float = 1.0
+    answer_timeout_s: float = 1.0
 
 
 class ListRuns(wire.Event, frozen=True):
@@ -227,7 +227,7 @@
     incarnation: str
     token: int
     #: Timeout of the call in seconds.
-    answer_s: float = 1.0
+    answer_timeout_s: float = 1.0
 
 
 class CloseStream(wire.Event, frozen=True):
@@ -296,7 +296,7 @@
     #: Milliseconds that the endpoint may hold the answer until a run ends.
     wait_ms: int
     #: Timeout of the call in seconds, in addition to ``wait_ms``.
-    slack_s: float = 0.15
+    timeout_slack_s: float = 0.15
     #: Seconds until the next call if this one fails. A heartbeat ends the
     #: wait early.
     retry_s: float = 0.03
--- a/src/ferryledge/leases/_agent_notes.py
+++ b/src/ferryledge/leases/_agent_notes.py
@@ -9,7 +9,7 @@
 from ferryledge import outcomes
 from ferryledge import wire
 
-_EXPECTED = (wire.HowEnded.DONE, wire.HowEnded.STOPPED)
+_EXPECTED = (wire.RunOutcome.DONE, wire.RunOutcome.STOPPED)
 
 
 class AgentNotes(_notes.Notes):
@@ -74,7 +74,7 @@
         now: float,
         owner: _owners.Owner,
         order: wire.OrderRuns,
-        reason: wire.NotStarted,
+        reason: wire.RunReleaseReason,
     ) -> None:
         """Record that all runs of an order were refused."""
         self._meter.order(str(reason), len(order.runs))
@@ -105,7 +105,7 @@
         """
         self._meter.order("", len(order.runs) - refused_count)
         if refused_count:
-            self._meter.order(str(wire.NotStarted.FULL), refused_count)
+            self._meter.order(str(wire.RunReleaseReason.FULL), refused_count)
         self.add(
             outcomes.Step.START,
             "order taken",
@@ -145,10 +145,10 @@
         )
 
     def run_ended(
-        self, now: float, row: _runs.RunRow, how: wire.HowEnded
+        self, now: float, row: _runs.RunRow, how: wire.RunOutcome
     ) -> None:
         """Record that a run ended."""
-        self._meter.over(how, now - row.ordered_at)
+        self._meter.run_ended(how, now - row.ordered_at)
         self.add(
             outcomes.Step.RUN,
             "run over",
--- a/src/ferryledge/leases/_agent_search.py
+++ b/src/ferryledge/leases/_agent_search.py
@@ -142,7 +142,7 @@
         if own_address is None:
             return []
         known = tuple(row.name for row in self._pool if row.connected)
-        message = wire.SeekAgents(
+        message = wire.InviteAgents(
             own_address,
             requirement.service,
             requirement.label,
@@ -154,7 +154,7 @@
         return [_entry_events.SendMessage(entry, message) for entry in entries]
 
     def invite(
-        self, now: float, sought: wire.SeekAgents
+        self, now: float, sought: wire.InviteAgents
     ) -> list[_entry_events.SendMessage]:
         """Return the invitations to send for another entry's search."""
         step = _jobs.JobStep(1, sought.need, label=sought.label)
--- a/src/ferryledge/leases/_endpoint_history.py
+++ b/src/ferryledge/leases/_endpoint_history.py
@@ -147,15 +147,15 @@
         self._down_at: float | None = None
         self._restarted = False
 
-    def note_down(self, now: float, started_anew: bool = False) -> None:
+    def note_down(self, now: float, restarted: bool = False) -> None:
         """Record that the endpoint stopped answering without notice.
 
         :param now: monotonic seconds
-        :param started_anew: whether it is known to have been restarted
+        :param restarted: whether it is known to have been restarted
         """
         if self._down_at is None:
             self._down_at = now
-        self._restarted |= started_anew
+        self._restarted |= restarted
 
     def note_up(self, now: float) -> float | None:
         """Record that the endpoint answers.
--- a/src/ferryledge/leases/_endpoint_watch.py
+++ b/src/ferryledge/leases/_endpoint_watch.py
@@ -18,18 +18,18 @@
 Act = abc.Callable[[_agent_events.AgentAction], None]
 #: Reason that an entry gets for a run that the endpoint didn't start.
 _RELEASE_REASONS = {
-    _agent_events.StartResult.FENCED: wire.NotStarted.REJECTED,
-    _agent_events.StartResult.RUN_NUMBER: wire.NotStarted.RUN_NUMBER,
-    _agent_events.StartResult.LATE: wire.NotStarted.NO_ANSWER,
-    _agent_events.StartResult.FULL: wire.NotStarted.FULL,
-    _agent_events.StartResult.REJECTED: wire.NotStarted.REJECTED,
-    _agent_events.StartResult.UNHEALTHY: wire.NotStarted.UNHEALTHY,
-    _agent_events.StartResult.REPLACED: wire.NotStarted.ENDPOINT,
-    _agent_events.StartResult.DOWN: wire.NotStarted.ENDPOINT,
+    _agent_events.StartResult.FENCED: wire.RunReleaseReason.REJECTED,
+    _agent_events.StartResult.RUN_NUMBER: wire.RunReleaseReason.RUN_NUMBER,
+    _agent_events.StartResult.LATE: wire.RunReleaseReason.NO_ANSWER,
+    _agent_events.StartResult.FULL: wire.RunReleaseReason.FULL,
+    _agent_events.StartResult.REJECTED: wire.RunReleaseReason.REJECTED,
+    _agent_events.StartResult.UNHEALTHY: wire.RunReleaseReason.UNHEALTHY,
+    _agent_events.StartResult.REPLACED: wire.RunReleaseReason.ENDPOINT,
+    _agent_events.StartResult.DOWN: wire.RunReleaseReason.ENDPOINT,
 }
 
 #: Ends that count for an endpoint's failure rate.
-_COUNTED_ENDS = (wire.HowEnded.DONE, wire.HowEnded.FAILED)
+_COUNTED_ENDS = (wire.RunOutcome.DONE, wire.RunOutcome.FAILED)
 
 
 class EndpointWatch:
@@ -157,7 +157,7 @@
         self._listed_clock_ms = 0
         self.failure_rates.forget()
         if not self._shutdown_announced:
-            self.outages.note_down(now, started_anew=True)
+            self.outages.note_down(now, restarted=True)
 
     def _lose_listed(self, now: float) -> None:
         """End as lost the runs that the previous incarnation listed.
@@ -168,7 +168,7 @@
         crashed_jobs = self._crashed_jobs()
         for row in self._runs:
             if row.listed:
-                self._end(now, row, wire.HowEnded.LOST, crashed_jobs)
+                self._end(now, row, wire.RunOutcome.LOST, crashed_jobs)
             else:
                 self._run_stopper.stop_after_restart(now, row)
 
@@ -187,7 +187,7 @@
     def _lose_all(self, now: float) -> None:
         crashed_jobs = self._crashed_jobs()
         for row in self._runs.clear():
-            how = wire.HowEnded.LOST
+            how = wire.RunOutcome.LOST
             self._reports.report_end(now, row, how, crashed_jobs)
 
     def _crashed_jobs(self) -> int:
@@ -216,15 +216,17 @@
             case _agent_events.StartResult.SILENT:
                 self._notes.order_unanswered(row)
                 self._run_stopper.stop(
-                    now, row.key, release_reason=wire.NotStarted.NO_ANSWER
+                    now,
+                    row.key,
+                    release_reason=wire.RunReleaseReason.NO_ANSWER,
                 )
             case _:
                 if event.result is _agent_events.StartResult.FENCED:
                     self._link.raise_token(event.clock_ms, now)
                 row.release_reason = _RELEASE_REASONS[event.result]
-                if row.release_reason is wire.NotStarted.UNHEALTHY:
+                if row.release_reason is wire.RunReleaseReason.UNHEALTHY:
                     self._note_end(now, row, False)
-                self._end(now, row, wire.HowEnded.STOPPED)
+                self._end(now, row, wire.RunOutcome.STOPPED)
 
     def _on_renewed(
         self, now: float, event: _agent_events.LeaseRenewed
@@ -298,7 +300,7 @@
         if row is not None:
             row.confirmed_at = row.confirmed_at or row.ordered_at
             if end.how in _COUNTED_ENDS:
-                self._note_end(now, row, end.how is wire.HowEnded.DONE)
+                self._note_end(now, row, end.how is wire.RunOutcome.DONE)
             self._end(now, row, end.how)
 
     def _note_end(self, now: float, row: _runs.RunRow, ok: bool) -> None:
@@ -329,7 +331,7 @@
         self,
         now: float,
         row: _runs.RunRow,
-        how: wire.HowEnded,
+        how: wire.RunOutcome,
         crashed_jobs: int = 0,
     ) -> None:
         self._runs.remove(row.key)
--- a/src/ferryledge/leases/_entry.py
+++ b/src/ferryledge/leases/_entry.py
@@ -178,7 +178,7 @@
 
     def pop_notes(self) -> list[_notes.Note]:
         """Return the notes on decisions since the last call, for the log."""
-        return self._notes.take()
+        return self._notes.pop()
 
     def holds(self, name: str) -> bool:
         """Return whether this entry has an open job of that name."""
@@ -274,7 +274,7 @@
         for row, message in self._scheduler.due_urgency_reports(now):
             self._send(row.name, message)
         self._grant(now)
-        for action in self._peers.take_actions():
+        for action in self._peers.pop_actions():
             if isinstance(action, _entry_events.SendMessage):
                 self._send(action.peer, action.message)
             else:
@@ -467,7 +467,7 @@
                 self._peers.learn_config(version, data)
             case wire.EntryList(entries):
                 self._peers.learn_entries(entries)
-            case wire.SeekAgents():
+            case wire.InviteAgents():
                 self._send_all(self._agent_search.invite(now, message))
             case _:
                 if self._handover.receive(now, peer, message):
@@ -477,7 +477,7 @@
         self, now: float, row: _pool.AgentRow, message: wire.Message
     ) -> None:
         match message:
-            case wire.AskLease():
+            case wire.GrantRequest():
                 self._on_ask(now, row, message)
             case wire.EndpointState():
                 self._on_state(now, row, message)
@@ -493,10 +493,10 @@
                 self._tick_by = now
 
     def _on_ask(
-        self, now: float, row: _pool.AgentRow, ask: wire.AskLease
+        self, now: float, row: _pool.AgentRow, ask: wire.GrantRequest
     ) -> None:
         row.ask_seen = ask.number
-        if ask.wanted or self._pool.must_answer(row, now):
+        if ask.needs_answer or self._pool.must_answer(row, now):
             self._awaiting_grant[row.name] = row
             self._tick_by = min(self._tick_by, now + _ANSWER_WITHIN_S)
 
@@ -509,7 +509,7 @@
                 row.granted_at = now
                 shorten_by_ms = self._runs.shorten_by_ms(now, row)
                 self._send(
-                    row.name, wire.GrantLease(row.ask_seen, shorten_by_ms)
+                    row.name, wire.LeaseGrant(row.ask_seen, shorten_by_ms)
                 )
         self._awaiting_grant.clear()
 
@@ -526,7 +526,9 @@
                         now, self._runs.ended(now, row, name, end)
                     )
                 if ask:
-                    self._on_ask(now, row, wire.AskLease(ask, wanted=True))
+                    self._on_ask(
+                        now, row, wire.GrantRequest(ask, needs_answer=True)
+                    )
             case wire.RunsHeld(runs):
                 for decided in self._runs.reconcile(now, row, runs):
                     self._finish_decided(now, decided)
--- a/src/ferryledge/leases/_entry_notes.py
+++ b/src/ferryledge/leases/_entry_notes.py
@@ -52,7 +52,7 @@
             log_end=state.version,
         )
 
-    def sought(self, message: wire.SeekAgents, entries: int) -> None:
+    def sought(self, message: wire.InviteAgents, entries: int) -> None:
         """Other entries were asked for agents that fit a task."""
         self.add(
             outcomes.Step.HEALTH,
@@ -65,7 +65,7 @@
             entries=entries,
         )
 
-    def invited(self, message: wire.SeekAgents, agents: list[str]) -> None:
+    def invited(self, message: wire.InviteAgents, agents: list[str]) -> None:
         """Agents of this entry were asked to serve another entry too."""
         self.add(
             outcomes.Step.HEALTH,
@@ -200,7 +200,7 @@
         job: _jobs.Job,
         row: _pool.AgentRow,
         run: wire.TaskRun,
-        reason: wire.NotStarted,
+        reason: wire.RunReleaseReason,
     ) -> None:
         """An agent released a run without starting it."""
         self._meter.not_started(reason)
@@ -223,7 +223,7 @@
     ) -> None:
         """A run ended; it is logged only if it brought no result."""
         self._meter.ended(end.how)
-        if end.how is wire.HowEnded.DONE:
+        if end.how is wire.RunOutcome.DONE:
             return
         self.add(
             outcomes.Step.RUN,
--- a/src/ferryledge/leases/_forecast.py
+++ b/src/ferryledge/leases/_forecast.py
@@ -140,9 +140,9 @@
         room_in_s = self._start_delay(self._total, demand, ahead + arriving)
         if self._now + room_in_s <= demand.start_by:
             return self._make(demand, room_in_s, Prospect.IN_TIME)
-        return self.late(demand, ahead)
+        return self.forecast_deferred(demand, ahead)
 
-    def late(self, demand: Demand, ahead: float) -> Forecast:
+    def forecast_deferred(self, demand: Demand, ahead: float) -> Forecast:
         """Return the forecast of a job behind all jobs that can be on time.
 
         :param demand: input for the job
--- a/src/ferryledge/leases/_handover.py
+++ b/src/ferryledge/leases/_handover.py
@@ -122,13 +122,13 @@
             case wire.OfferAnswered():
                 self._outgoing.on_offer_answered(now, peer, message)
                 return message.declined is not None
-            case wire.JobHandled():
+            case wire.HandoverEnded():
                 self._outgoing.on_job_handled(now, peer, message)
-                return message.how is wire.HowHandled.NOT_RUN
-            case wire.RoomTold():
+                return message.how is wire.HandoverOutcome.NOT_RUN
+            case wire.CapacityReport():
                 self._outgoing.note_capacity(now, peer, message)
                 self._offers_due = True
-            case wire.AskHandedIn():
+            case wire.HandoverGrantRequest():
                 self._outgoing.renew_leases(now, peer, message)
             case _:
                 self._receive_as_delegate(now, peer, message)
@@ -138,13 +138,13 @@
         self, now: float, peer: str, message: wire.Message
     ) -> None:
         match message:
-            case wire.AskRoom(service):
+            case wire.CapacityRequest(service):
                 self._incoming.report_capacity(now, peer, service)
             case wire.OfferJob():
                 self._incoming.on_offer(now, peer, message)
             case wire.WithdrawJob():
                 self._incoming.on_withdrawal(now, message)
-            case wire.GrantHandedIn():
+            case wire.HandoverGrant():
                 self._incoming.on_grant(now, peer, message)
 
     def defer_refusal(self, job: _jobs.Job, refusal: outcomes.Refused) -> bool:
--- a/src/ferryledge/leases/_handover_notes.py
+++ b/src/ferryledge/leases/_handover_notes.py
@@ -50,7 +50,7 @@
         )
 
     def declined(
-        self, now: float, job: _jobs.Job, peer: str, why: wire.Declined
+        self, now: float, job: _jobs.Job, peer: str, why: wire.DeclineReason
     ) -> None:
         """Record that another entry declined a job."""
         self._meter.handover("declined")
@@ -68,7 +68,7 @@
         now: float,
         job: _jobs.Job,
         peer: str,
-        handled: wire.JobHandled,
+        handled: wire.HandoverEnded,
     ) -> None:
         """Record the result that another entry reported."""
         self._meter.handover(f"handled_{handled.how}")
@@ -95,7 +95,7 @@
             signed_s=round(now - renewed_at, 3),
         )
 
-    def result_ignored(self, peer: str, handled: wire.JobHandled) -> None:
+    def result_ignored(self, peer: str, handled: wire.HandoverEnded) -> None:
         """Record a result that was ignored: the job isn't handed over."""
         self._meter.handover("dropped")
         self.add(
@@ -112,7 +112,7 @@
         now: float,
         offer: wire.OfferJob,
         peer: str,
-        declined: wire.Declined | None,
+        declined: wire.DeclineReason | None,
         reported_at: float,
     ) -> None:
         """Record that an offer of another entry was accepted or declined."""
--- a/src/ferryledge/leases/_incoming_handovers.py
+++ b/src/ferryledge/leases/_incoming_handovers.py
@@ -62,7 +62,7 @@
         default_factory=dict
     )
     #: Unconfirmed results, each with the number of the last request before it.
-    unconfirmed: list[tuple[int, wire.JobHandled]] = msgspec.field(
+    unconfirmed: list[tuple[int, wire.HandoverEnded]] = msgspec.field(
         default_factory=list
     )
 
@@ -139,7 +139,7 @@
         cpu_millis = 0
         if not self.is_draining and len(self._held) < _MAX_HELD_JOBS:
             cpu_millis = self._spare.cpu_millis(now, service)
-        message = wire.RoomTold(self._last_report, service, cpu_millis)
+        message = wire.CapacityReport(self._last_report, service, cpu_millis)
         self._send(peer, message)
 
     def on_offer(self, now: float, peer: str, offer: wire.OfferJob) -> None:
@@ -147,7 +147,7 @@
         job = self._make_job(now, offer)
         declined = self._reason_to_decline(now, offer, job)
         answer = wire.OfferAnswered(offer.delegator, offer.number, declined)
-        reported_at = self._reported_at.get(offer.room, -math.inf)
+        reported_at = self._reported_at.get(offer.capacity_report, -math.inf)
         self._notes.offer_decided(now, offer, peer, declined, reported_at)
         if job is not None and declined is None:
             self._hold(now, peer, offer, job, reported_at)
@@ -155,10 +155,10 @@
 
     def _reason_to_decline(
         self, now: float, offer: wire.OfferJob, job: _jobs.Job | None
-    ) -> wire.Declined | None:
+    ) -> wire.DeclineReason | None:
         """Return why an offer is declined; ``None`` if it is accepted."""
-        reasons = wire.Declined
-        reported_at = self._reported_at.get(offer.room, -math.inf)
+        reasons = wire.DeclineReason
+        reported_at = self._reported_at.get(offer.capacity_report, -math.inf)
         if offer.delegate != self._incarnation:
             return reasons.OLD
         if now - reported_at > _outgoing_handovers.CAPACITY_VALID_S:
@@ -280,13 +280,13 @@
             self._last_request += 1
             delegator.requests[self._last_request] = (now, offers)
             delegator.next_renewal_at = now + _RENEWAL_INTERVAL_S
-            message = wire.AskHandedIn(
+            message = wire.HandoverGrantRequest(
                 delegator.incarnation, self._last_request, offers
             )
             self._send(delegator.peer, message)
 
     def on_grant(
-        self, now: float, peer: str, grant: wire.GrantHandedIn
+        self, now: float, peer: str, grant: wire.HandoverGrant
     ) -> None:
         """Renew the leases that a grant lists; stop the other jobs."""
         delegator = self._delegators.get(peer)
@@ -377,22 +377,24 @@
     return _jobs.LeasedJob(offer.job, job_class, spec, steps, offer.deadline_s)
 
 
-def _make_result(held: _Held, outcome: outcomes.JobOutcome) -> wire.JobHandled:
+def _make_result(
+    held: _Held, outcome: outcomes.JobOutcome
+) -> wire.HandoverEnded:
     """Return the result that is reported to the delegator.
 
     If this entry gave up for lack of time, the job is reported as stopped and
     the delegator decides: it knows how long its client waits.
     """
-    how = wire.HowHandled.STOPPED
+    how = wire.HandoverOutcome.STOPPED
     reason = ""
     peer = ""
     match outcome:
         case outcomes.Complete():
-            how = wire.HowHandled.DONE
+            how = wire.HandoverOutcome.DONE
         case outcomes.Refused() | outcomes.FailedNotRun():
-            how = wire.HowHandled.NOT_RUN
+            how = wire.HandoverOutcome.NOT_RUN
         case outcomes.FailedMayHaveRun(outcomes.Reason.TASK_FAILED, origin):
-            how = wire.HowHandled.FAILED
+            how = wire.HandoverOutcome.FAILED
             reason = str(outcomes.Reason.TASK_FAILED)
             peer = origin.peer
-    return wire.JobHandled(held.delegator, held.number, how, reason, peer)
+    return wire.HandoverEnded(held.delegator, held.number, how, reason, peer)
--- a/src/ferryledge/leases/_late_jobs.py
+++ b/src/ferryledge/leases/_late_jobs.py
@@ -56,7 +56,7 @@
     late.sort(key=lambda job: job.demand.useful_start_by)
     work = queue.work
     for job in late:
-        forecast = forecaster.late(job.demand, work)
+        forecast = forecaster.forecast_deferred(job.demand, work)
         forecasts[job.number] = forecast
         if forecast.prospect is _forecast.Prospect.LATE:
             work += job.demand.work
@@ -126,7 +126,9 @@
         """Return the largest job whose late answer would still be of use."""
         late = _forecast.Prospect.LATE
         for _, _, job in heapq.nsmallest(_MAX_CANDIDATES, self._largest):
-            forecast = self._forecaster.late(job.demand, self.work)
+            forecast = self._forecaster.forecast_deferred(
+                job.demand, self.work
+            )
             if forecast.prospect is late:
                 return job
         return None
--- a/src/ferryledge/leases/_meters.py
+++ b/src/ferryledge/leases/_meters.py
@@ -35,10 +35,10 @@
         :param count: number of runs
         """
 
-    def not_started(self, reason: wire.NotStarted) -> None:
+    def not_started(self, reason: wire.RunReleaseReason) -> None:
         """An agent released a run without starting it."""
 
-    def ended(self, how: wire.HowEnded) -> None:
+    def ended(self, how: wire.RunOutcome) -> None:
         """A run ended."""
 
     def moved(self) -> None:
@@ -67,7 +67,7 @@
         :param count: number of runs
         """
 
-    def over(self, how: wire.HowEnded, held_s: float) -> None:
+    def run_ended(self, how: wire.RunOutcome, held_s: float) -> None:
         """A run is over.
 
         :param how: how it ended
--- a/src/ferryledge/leases/_notes.py
+++ b/src/ferryledge/leases/_notes.py
@@ -55,7 +55,7 @@
             return
         self._notes.append(Note(step, message, job, peer, urgent, facts))
 
-    def take(self) -> list[Note]:
+    def pop(self) -> list[Note]:
         """Return and clear the collected notes."""
         notes = self._notes
         self._notes = []
--- a/src/ferryledge/leases/_outgoing_handovers.py
+++ b/src/ferryledge/leases/_outgoing_handovers.py
@@ -157,7 +157,7 @@
             del self._reports[key]
 
     def note_capacity(
-        self, now: float, peer: str, report: wire.RoomTold
+        self, now: float, peer: str, report: wire.CapacityReport
     ) -> None:
         """Store the spare capacity that an entry reported."""
         received = _CapacityReport(report.number, report.cpu_millis, now)
@@ -216,7 +216,7 @@
         )
         for name in self._entries_to_ask():
             for service in services:
-                self._send(name, wire.AskRoom(service))
+                self._send(name, wire.CapacityRequest(service))
 
     def _entries_to_ask(self) -> list[str]:
         """Return the entries to ask, half of them in this entry's zone."""
@@ -264,7 +264,7 @@
         self._take_back_unrun(offer)
 
     def on_job_handled(
-        self, now: float, peer: str, handled: wire.JobHandled
+        self, now: float, peer: str, handled: wire.HandoverEnded
     ) -> None:
         """Handle the result of a job that was handed over."""
         offer = self._find_offer(peer, handled.delegator, handled.number)
@@ -273,15 +273,15 @@
             return
         self._notes.handled(now, offer.job, peer, handled)
         match handled.how:
-            case wire.HowHandled.NOT_RUN:
+            case wire.HandoverOutcome.NOT_RUN:
                 self._take_back_unrun(offer)
-            case wire.HowHandled.DONE:
+            case wire.HandoverOutcome.DONE:
                 self._take_back(offer)
                 self._finish(now, offer.job, outcomes.Complete(()))
-            case wire.HowHandled.FAILED:
+            case wire.HandoverOutcome.FAILED:
                 offer.is_abandoned = True
                 self._finish(now, offer.job, _make_failure(handled))
-            case wire.HowHandled.STOPPED:
+            case wire.HandoverOutcome.STOPPED:
                 offer.is_abandoned = True
 
     def _find_offer(
@@ -316,7 +316,7 @@
     # The lease.
 
     def renew_leases(
-        self, now: float, peer: str, request: wire.AskHandedIn
+        self, now: float, peer: str, request: wire.HandoverGrantRequest
     ) -> None:
         """Renew the leases on the jobs that the delegate is to go on with."""
         if request.delegator != self._incarnation:
@@ -328,7 +328,7 @@
                 offer.accepted = True
                 offer.renewed_at = now
                 renewed.append(number)
-        grant = wire.GrantHandedIn(
+        grant = wire.HandoverGrant(
             request.delegator, request.number, tuple(renewed)
         )
         self._send(peer, grant)
@@ -377,7 +377,7 @@
         report_number,
         request.job,
         offer.job.pack_spec(),
-        wire.OfferedClass(
+        wire.OfferedJobClass(
             job_class.name,
             job_class.service,
             job_class.priority,
@@ -403,7 +403,7 @@
     )
 
 
-def _make_failure(handled: wire.JobHandled) -> outcomes.FailedMayHaveRun:
+def _make_failure(handled: wire.HandoverEnded) -> outcomes.FailedMayHaveRun:
     origin = outcomes.Origin(outcomes.Step.RUN, handled.peer)
     reasons = {str(member): member for member in outcomes.Reason}
     reason = reasons.get(handled.reason, outcomes.Reason.TASK_FAILED)
--- a/src/ferryledge/leases/_owners.py
+++ b/src/ferryledge/leases/_owners.py
@@ -1,7 +1,7 @@
 """The entries that an agent runs tasks for, and the grants they gave.
 
 A grant lets the agent renew an entry's runs for a limited time. The agent
-requests a new one with an ask (:class:`ferryledge.wire.AskLease`), and the
+requests a new one with an ask (:class:`ferryledge.wire.GrantRequest`), and the
 entry answers with a grant. Asks are numbered, and a grant counts from the
 time at which the ask was sent that it answers.
 """
@@ -277,7 +277,7 @@
 
     def ask(
         self, owner: Owner, now: float, busy: bool, at_once: bool = False
-    ) -> wire.AskLease:
+    ) -> wire.GrantRequest:
         """Return the next ask for a grant, and record it.
 
         :param owner: the entry
@@ -301,7 +301,7 @@
             if not owner.is_primary:
                 interval_s = self._timing.far_ask_every_s
         owner.next_ask_at = self._next_ask_at(now, interval_s)
-        return wire.AskLease(
+        return wire.GrantRequest(
             self._last_ask, self._last_ask in owner.unanswered_asks
         )
 
--- a/src/ferryledge/leases/_peers.py
+++ b/src/ferryledge/leases/_peers.py
@@ -86,7 +86,7 @@
         """Return an entry's address; ``None`` if it is unknown."""
         return self._addresses.get(name)
 
-    def take_actions(self) -> list[_entry_events.EntryAction]:
+    def pop_actions(self) -> list[_entry_events.EntryAction]:
         """Return the pending actions and clear them."""
         actions = self._actions
         self._actions = []
--- a/src/ferryledge/leases/_reconciliation.py
+++ b/src/ferryledge/leases/_reconciliation.py
@@ -8,7 +8,7 @@
 def end_of(
     row: _runs.RunRow,
     listing: _agent_events.LeaseRenewed,
-) -> wire.HowEnded | None:
+) -> wire.RunOutcome | None:
     """Return how an unlisted run ended; none if it may still start.
 
     :param row: a run that isn't in the listing
@@ -16,9 +16,9 @@
     """
     match row.state:
         case _runs.RunState.RUNNING if _was_confirmed(row, listing):
-            return wire.HowEnded.LOST
+            return wire.RunOutcome.LOST
         case _runs.RunState.STOPPING if _can_not_start(row, listing):
-            return wire.HowEnded.STOPPED
+            return wire.RunOutcome.STOPPED
     return None
 
 
--- a/src/ferryledge/leases/_reports.py
+++ b/src/ferryledge/leases/_reports.py
@@ -70,7 +70,7 @@
         self,
         now: float,
         row: _runs.RunRow,
-        how: wire.HowEnded,
+        how: wire.RunOutcome,
         crashed_jobs: int = 0,
     ) -> None:
         """Report to an entry that a run has ended or wasn't started.
@@ -107,7 +107,7 @@
         owner: _owners.Owner,
         job: str,
         runs: abc.Iterable[wire.TaskRun],
-        reason: wire.NotStarted,
+        reason: wire.RunReleaseReason,
     ) -> None:
         """Report to an entry which runs were not started."""
         if owner.connected:
--- a/src/ferryledge/leases/_run_stopper.py
+++ b/src/ferryledge/leases/_run_stopper.py
@@ -61,7 +61,7 @@
         now: float,
         key: _runs.RunKey,
         owner: _owners.Owner | None = None,
-        release_reason: wire.NotStarted | None = None,
+        release_reason: wire.RunReleaseReason | None = None,
     ) -> None:
         """Stop a run, unless its stop was already ordered.
 
@@ -90,7 +90,9 @@
         :param row: the run
         """
         row.state = _runs.RunState.STOPPING
-        row.release_reason = row.release_reason or wire.NotStarted.NO_ANSWER
+        row.release_reason = (
+            row.release_reason or wire.RunReleaseReason.NO_ANSWER
+        )
         row.expires_ms = 0
         row.stop_confirmed_at = None
         self._send_stop(now, row)
--- a/src/ferryledge/leases/_run_tracker.py
+++ b/src/ferryledge/leases/_run_tracker.py
@@ -21,8 +21,8 @@
 
 #: Reasons for which another try at the same endpoint would fail as well.
 _AVOID_REASONS = (
-    wire.NotStarted.REJECTED,
-    wire.NotStarted.UNHEALTHY,
+    wire.RunReleaseReason.REJECTED,
+    wire.RunReleaseReason.UNHEALTHY,
 )
 #: Failure rate from which an endpoint is suspect. A single failed job reaches
 #: it if none has succeeded there since.
@@ -163,7 +163,7 @@
         row: _pool.AgentRow,
         name: str,
         run: wire.TaskRun,
-        reason: wire.NotStarted,
+        reason: wire.RunReleaseReason,
     ) -> None:
         """Handle the release of a run that never started."""
         unbound = self._unbind(row, name, run)
@@ -187,23 +187,23 @@
         if unbound is None:
             return None
         job, task = unbound
-        if end.how not in (wire.HowEnded.DONE, wire.HowEnded.FAILED):
+        if end.how not in (wire.RunOutcome.DONE, wire.RunOutcome.FAILED):
             self._return_probe(row)
         self._notes.ended(job, row, end, task.failures)
         decided = None
         match end.how:
-            case wire.HowEnded.DONE:
+            case wire.RunOutcome.DONE:
                 job.set_state(task, _jobs.TaskState.DONE)
                 self._learn(now, row, job, task, end)
                 decided = self._if_done(job)
-            case wire.HowEnded.FAILED:
+            case wire.RunOutcome.FAILED:
                 task.failures += 1
                 task.avoided_agents.add(row.name)
                 self._record_end(now, row, job, False)
                 decided = self._if_out_of_attempts(job, task, row)
                 if decided is None and not self.retry_budget.available(now):
                     self._notes.retry_delayed(job, task)
-            case wire.HowEnded.LOST if end.crashed_jobs:
+            case wire.RunOutcome.LOST if end.crashed_jobs:
                 task.avoided_agents.add(row.name)
                 task.crashes.append(
                     self._crashes.note(now, row.name, name, end.crashed_jobs)
@@ -354,7 +354,7 @@
         held_runs = {(item.job, item.run) for item in runs}
         decided = []
         for name, run in list(row.runs - held_runs):
-            end = wire.RunEnd(run, wire.HowEnded.LOST, 0.0)
+            end = wire.RunEnd(run, wire.RunOutcome.LOST, 0.0)
             decided.append(self.ended(now, row, name, end))
         for name, run in held_runs - row.runs:
             self._send(row.name, wire.StopRuns(name, (run,)))
--- a/src/ferryledge/leases/_runs.py
+++ b/src/ferryledge/leases/_runs.py
@@ -67,7 +67,7 @@
     #: The number of stops that were sent.
     stops_sent: int = 0
     #: The reason to report for its release if it never started.
-    release_reason: wire.NotStarted | None = None
+    release_reason: wire.RunReleaseReason | None = None
     #: Whether the endpoint has listed it since its start.
     listed: bool = False
     #: Its progress; none if its expected run time is unknown.
--- a/src/ferryledge/leases/_scheduler.py
+++ b/src/ferryledge/leases/_scheduler.py
@@ -293,7 +293,7 @@
 
     def due_urgency_reports(
         self, now: float
-    ) -> abc.Iterator[tuple[_pool.AgentRow, wire.RoomWanted]]:
+    ) -> abc.Iterator[tuple[_pool.AgentRow, wire.UrgencyReport]]:
         """Yield the due reports to agents on how urgent waiting jobs are."""
         if now < self._report_at:
             return
--- a/src/ferryledge/leases/_urgency_reports.py
+++ b/src/ferryledge/leases/_urgency_reports.py
@@ -52,7 +52,7 @@
 
     def make_reports(
         self, now: float, virtual_deadline: float | None, pool: _pool.Pool
-    ) -> abc.Iterator[tuple[_pool.AgentRow, wire.RoomWanted]]:
+    ) -> abc.Iterator[tuple[_pool.AgentRow, wire.UrgencyReport]]:
         """Yield the agents to report to, with the reports.
 
         :param now: monotonic seconds
@@ -69,4 +69,4 @@
         for row in pool:
             if row.connected and row.reconciled and row.state.is_primary:
                 self.reported_agents += 1
-                yield row, wire.RoomWanted(start_by_s)
+                yield row, wire.UrgencyReport(start_by_s)
--- a/src/ferryledge/leases/tests/handovers.py
+++ b/src/ferryledge/leases/tests/handovers.py
@@ -132,16 +132,16 @@
 
 
 STEPS: dict[str, Step] = {
-    "capacity requested": Step(wire.AskRoom, 0.0003),
+    "capacity requested": Step(wire.CapacityRequest, 0.0003),
     "offer on its way": Step(wire.OfferJob, 0.0003),
     "offer accepted": Step(wire.OfferAnswered, 0.0003),
     "answered": Step(wire.OfferAnswered, 0.0009),
     "started": Step(wire.OfferAnswered, 0.004),
-    "renewal requested": Step(wire.AskHandedIn, 0.0003),
-    "lease renewed": Step(wire.GrantHandedIn, 0.0003),
-    "running": Step(wire.GrantHandedIn, 0.07),
-    "result on its way": Step(wire.JobHandled, 0.0003),
-    "result reported": Step(wire.JobHandled, 0.0009),
+    "renewal requested": Step(wire.HandoverGrantRequest, 0.0003),
+    "lease renewed": Step(wire.HandoverGrant, 0.0003),
+    "running": Step(wire.HandoverGrant, 0.07),
+    "result on its way": Step(wire.HandoverEnded, 0.0003),
+    "result reported": Step(wire.HandoverEnded, 0.0009),
 }
 
 
--- a/src/ferryledge/leases/tests/test_endpoint_lives.py
+++ b/src/ferryledge/leases/tests/test_endpoint_incarnations.py
@@ -72,7 +72,7 @@
 def test_late_heartbeat_after_a_restart_without_a_stored_one(
     world: worlds.World,
 ) -> None:
-    del world.remembered[_AGENT]
+    del world.stored_heartbeats[_AGENT]
     world.kill(_AGENT, 0.1)
     world.run(0.12)
     _deliver_late_heartbeat(world)
--- a/src/ferryledge/leases/tests/test_forecast.py
+++ b/src/ferryledge/leases/tests/test_forecast.py
@@ -49,13 +49,17 @@
 
 
 def test_late_job_gets_the_capacity_that_others_leave() -> None:
-    forecast = _forecaster(arriving=8.0).late(_demand(work=1.0), 1.0)
+    forecast = _forecaster(arriving=8.0).forecast_deferred(
+        _demand(work=1.0), 1.0
+    )
     assert forecast.room_in_s == pytest.approx(1.0)
     assert forecast.prospect is _LATE
 
 
 def test_late_job_whose_answer_is_useless_is_too_late() -> None:
-    forecast = _forecaster(arriving=8.0).late(_demand(work=1.5), 1.0)
+    forecast = _forecaster(arriving=8.0).forecast_deferred(
+        _demand(work=1.5), 1.0
+    )
     assert forecast.room_in_s == pytest.approx(1.25)
     assert forecast.prospect is _TOO_LATE
 
@@ -75,14 +79,19 @@
 def test_job_that_fits_idle_cores_is_not_too_late() -> None:
     """Long jobs must not be refused while endpoints are idle."""
     forecaster = _forecaster(cores=1.0, free=5.0, arriving=8.0)
-    assert forecaster.late(_demand(), 50.0).prospect is _LATE
-    assert forecaster.late(_demand(work=4.0), 50.0).prospect is _TOO_LATE
+    assert forecaster.forecast_deferred(_demand(), 50.0).prospect is _LATE
+    assert (
+        forecaster.forecast_deferred(_demand(work=4.0), 50.0).prospect
+        is _TOO_LATE
+    )
 
 
 def test_capacity_changes_delay_the_start() -> None:
     loss = _forecast.CapacityChange(0.0, -10.0)
     gain = _forecast.CapacityChange(0.5, 10.0)
-    forecast = _forecaster(changes=(loss, gain)).late(_demand(work=1.0), 0.0)
+    forecast = _forecaster(changes=(loss, gain)).forecast_deferred(
+        _demand(work=1.0), 0.0
+    )
     assert forecast.room_in_s == pytest.approx(0.6)
 
 
--- a/src/ferryledge/leases/tests/test_grant_requests.py
+++ b/src/ferryledge/leases/tests/test_grant_requests.py
@@ -53,7 +53,7 @@
 
 def _end(ask: int) -> wire.RunsEnded:
     run = wire.TaskRun(0, 0, 1)
-    end = wire.RunEnd(run, wire.HowEnded.DONE, 0.4)
+    end = wire.RunEnd(run, wire.RunOutcome.DONE, 0.4)
     return wire.RunsEnded("a" * 16, (end,), ask)
 
 
@@ -61,13 +61,13 @@
     entry: leases.LeaseEntry,
 ) -> None:
     _receive(entry, 0.5, _end(ask=7))
-    assert wire.GrantLease(7) in _sent(entry, 0.5)
+    assert wire.LeaseGrant(7) in _sent(entry, 0.5)
 
 
 def test_end_without_an_ask_is_not_answered(entry: leases.LeaseEntry) -> None:
     _receive(entry, 0.5, _end(ask=0))
     sent = _sent(entry, 0.5)
-    assert not any(isinstance(message, wire.GrantLease) for message in sent)
+    assert not any(isinstance(message, wire.LeaseGrant) for message in sent)
 
 
 def test_order_of_the_same_tick_replaces_the_grant_message(
@@ -82,7 +82,7 @@
         message for message in sent if isinstance(message, wire.OrderRuns)
     ]
     assert [order.ask_seen for order in orders] == [7]
-    assert not any(isinstance(message, wire.GrantLease) for message in sent)
+    assert not any(isinstance(message, wire.LeaseGrant) for message in sent)
 
 
 def test_end_is_reported_again_until_it_is_confirmed() -> None:
--- a/src/ferryledge/leases/tests/test_handover.py
+++ b/src/ferryledge/leases/tests/test_handover.py
@@ -52,7 +52,11 @@
     for number in range(20):
         world.submit("entry-0", f"{number:016x}")
         world.run(0.1)
-    for message in (wire.AskRoom, wire.OfferJob, wire.AskHandedIn):
+    for message in (
+        wire.CapacityRequest,
+        wire.OfferJob,
+        wire.HandoverGrantRequest,
+    ):
         assert not world.sent[message]
 
 
@@ -65,7 +69,7 @@
     world.run(1.4)
     world.submit("entry-0", handovers.JOB)
     world.run(2.0)
-    assert not world.sent[wire.AskRoom]
+    assert not world.sent[wire.CapacityRequest]
 
 
 def test_draining_entry_offers_undispatched_jobs() -> None:
@@ -97,7 +101,7 @@
         world.run(rng.expovariate(10.0))
     world.run(15.0)
     faults.check(world)
-    assert world.sent[wire.JobHandled]
+    assert world.sent[wire.HandoverEnded]
 
 
 def _cut_off(world: worlds.World, rng: random.Random) -> None:
@@ -139,7 +143,7 @@
     new = wire.Hello(
         wire.Role.ENTRY, "entry-1", "1.1", "north", takes_jobs=True
     )
-    assert _messages_for_a_job(entry, new) == [wire.AskRoom("desk")]
+    assert _messages_for_a_job(entry, new) == [wire.CapacityRequest("desk")]
 
 
 def _entry_without_agents() -> leases.LeaseEntry:
--- a/src/ferryledge/leases/tests/test_handover_mutations.py
+++ b/src/ferryledge/leases/tests/test_handover_mutations.py
@@ -37,7 +37,7 @@
         world.at(0.29, lambda: world.kill(delegate, 4.0))
         world.at(0.7, lambda: _kill_busy(world))
 
-    step = handovers.Step(wire.GrantHandedIn, 0.002)
+    step = handovers.Step(wire.HandoverGrant, 0.002)
     return handovers.play(strike, step, 1, work_s=3.0)
 
 
--- a/src/ferryledge/leases/tests/test_leases.py
+++ b/src/ferryledge/leases/tests/test_leases.py
@@ -303,7 +303,7 @@
     world.sent.clear()
     world.run(6.0)
     pairs = len(world.agents) * len(world.entries)
-    assert world.sent[wire.GrantLease] <= pairs * 12
+    assert world.sent[wire.LeaseGrant] <= pairs * 12
     assert usable_agents(world) == len(world.agents)
 
 
--- a/src/ferryledge/leases/tests/test_many_processes.py
+++ b/src/ferryledge/leases/tests/test_many_processes.py
@@ -156,7 +156,7 @@
         world.submit("entry-0", f"{number:016x}", 1, cpu=9000 + number)
         world.run(0.01)
     peers = len(world.entries) - 1
-    assert world.sent[wire.SeekAgents] <= 11 * peers
+    assert world.sent[wire.InviteAgents] <= 11 * peers
     world.run(1.0)
     for token in world.answers:
         assert isinstance(world.outcome(token), outcomes.Refused)
@@ -172,7 +172,7 @@
     world.sent.clear()
     world.submit("entry-0", "a" * 16)
     world.run(0.1)
-    assert not world.sent[wire.SeekAgents]
+    assert not world.sent[wire.InviteAgents]
 
 
 def test_entry_with_few_agents_gets_more() -> None:
--- a/src/ferryledge/leases/tests/test_outgoing_handovers.py
+++ b/src/ferryledge/leases/tests/test_outgoing_handovers.py
@@ -44,7 +44,7 @@
     def report(self, now: float, name: str, cpu_millis: int) -> None:
         """Let an entry report its spare capacity."""
         self.core.note_capacity(
-            now, name, wire.RoomTold(7, "desk", cpu_millis)
+            now, name, wire.CapacityReport(7, "desk", cpu_millis)
         )
 
     def asked(self) -> list[str]:
@@ -52,7 +52,7 @@
         return [
             name
             for name, message in self.sent
-            if isinstance(message, wire.AskRoom)
+            if isinstance(message, wire.CapacityRequest)
         ]
 
     def offers(self) -> list[tuple[str, wire.OfferJob]]:
@@ -137,7 +137,7 @@
 def test_declined_job_counts_as_not_run(harness: Harness) -> None:
     job, offer = _offered(harness)
     assert job.is_dispatched
-    declined = wire.Declined.ROOM
+    declined = wire.DeclineReason.ROOM
     answer = wire.OfferAnswered(offer.delegator, offer.number, declined)
     harness.core.on_offer_answered(0.02, "entry-1", answer)
     assert not job.is_dispatched
@@ -157,7 +157,7 @@
 ) -> None:
     _, offer = _offered(harness)
     named = {"delegator": offer.delegator, "number": offer.number} | change
-    handled = wire.JobHandled(how=wire.HowHandled.DONE, **named)
+    handled = wire.HandoverEnded(how=wire.HandoverOutcome.DONE, **named)
     harness.core.on_job_handled(0.1, peer, handled)
     assert not harness.finished
 
@@ -166,7 +166,7 @@
     harness: Harness,
 ) -> None:
     job, offer = _offered(harness)
-    ask = wire.AskHandedIn(offer.delegator, 1, (offer.number,))
+    ask = wire.HandoverGrantRequest(offer.delegator, 1, (offer.number,))
     harness.core.renew_leases(0.1, "entry-1", ask)
     over_after_s = leases.LeaseTiming().over_after_s
     assert not harness.core.take_back_expired(0.1 + over_after_s)
@@ -180,6 +180,6 @@
 def test_lease_of_lost_job_is_not_renewed(harness: Harness) -> None:
     _, offer = _offered(harness)
     harness.core.take_back_expired(1.0)
-    ask = wire.AskHandedIn(offer.delegator, 1, (offer.number,))
+    ask = wire.HandoverGrantRequest(offer.delegator, 1, (offer.number,))
     harness.core.renew_leases(1.0, "entry-1", ask)
-    assert harness.sent[-1][1] == wire.GrantHandedIn(offer.delegator, 1, ())
+    assert harness.sent[-1][1] == wire.HandoverGrant(offer.delegator, 1, ())
--- a/src/ferryledge/ledger/__init__.py
+++ b/src/ferryledge/ledger/__init__.py
@@ -16,7 +16,7 @@
 TicketStatus = _tickets.TicketStatus
 submission_front = _starts.submission_front
 submission_number = _starts.submission_number
-minter_of = _tickets.minter_of
+issuer_of = _tickets.issuer_of
 
 __all__ = [
     "SUBMISSION_SEPARATOR",
@@ -29,7 +29,7 @@
     "TicketLedger",
     "TicketStatus",
     "TicketVerdict",
-    "minter_of",
+    "issuer_of",
     "submission_front",
     "submission_number",
 ]
--- a/src/ferryledge/ledger/_tickets.py
+++ b/src/ferryledge/ledger/_tickets.py
@@ -60,7 +60,7 @@
     minted_at: float
 
 
-def minter_of(ticket: str) -> str:
+def issuer_of(ticket: str) -> str:
     """Return the name of the minting process, or ``""`` if malformed."""
     fields = ticket.split(_SEPARATOR)
     return fields[0] if len(fields) == _FIELDS else ""
--- a/src/ferryledge/loads/_world.py
+++ b/src/ferryledge/loads/_world.py
@@ -126,7 +126,7 @@
         self.nodes: dict[str, Node] = {}
         self.endpoints: dict[str, standin.LeasedEndpoint] = {}
         #: What each agent kept of its endpoint for its next start.
-        self.remembered: dict[str, leases.EndpointHeartbeat] = {}
+        self.stored_heartbeats: dict[str, leases.EndpointHeartbeat] = {}
         #: The newest stream of each agent and entry.
         self.streams: dict[tuple[str, str], Stream] = {}
         #: The stream that a process uses to a peer.
@@ -342,7 +342,7 @@
         }
 
     def _recall(self, name: str, life: int) -> None:
-        seen = self.remembered.get(name)
+        seen = self.stored_heartbeats.get(name)
         if seen is not None and self.nodes[name].life == life:
             self.post(name, leases.EndpointRestored(seen))
 
@@ -418,7 +418,7 @@
             case leases.AnswerJob(token, outcome):
                 self._note_answer(token, outcome)
             case leases.SaveEndpoint(seen):
-                self.remembered[name] = seen
+                self.stored_heartbeats[name] = seen
             case _:
                 self._change_streams(name, action)
 
@@ -627,7 +627,7 @@
             silent = leases.StartAnswered(
                 order.key, leases.StartResult.SILENT, order.incarnation
             )
-            self.at(order.answer_s, lambda: self.post(agent, silent))
+            self.at(order.answer_timeout_s, lambda: self.post(agent, silent))
 
     def _list_runs(self, agent: str, renewal: leases.Renewal) -> None:
         endpoint = self.endpoints[agent]
@@ -678,7 +678,7 @@
         self.at(self.rng.uniform(2, 12) if late else CALL_S, carry_out)
         if late:
             silent = leases.LeaseNotRenewed(fault.SILENT, renewal.incarnation)
-            wait_s = renewal.wait_ms / 1000.0 + renewal.slack_s
+            wait_s = renewal.wait_ms / 1000.0 + renewal.timeout_slack_s
             self.at(wait_s, lambda: self.post(agent, silent))
             again(wait_s + 0.03)
 
--- a/src/ferryledge/net/__init__.py
+++ b/src/ferryledge/net/__init__.py
@@ -15,9 +15,9 @@
 CallError = _http_connection.CallError
 CallResponse = _http_connection.CallResponse
 ConnectError = _http_connection.ConnectError
-HttpCaller = _http.HttpCaller
-LateAnswerError = _http_connection.LateAnswerError
-NoAnswerError = _http_connection.NoAnswerError
+HttpClient = _http.HttpClient
+ResponseTimeoutError = _http_connection.ResponseTimeoutError
+NoResponseError = _http_connection.NoResponseError
 HttpResponse = _asgi.HttpResponse
 Mesh = _mesh.Mesh
 PeerAddress = _mesh.PeerAddress
@@ -35,13 +35,13 @@
     "ConnectError",
     "Driver",
     "Handler",
-    "HttpCaller",
+    "HttpClient",
     "HttpResponse",
-    "LateAnswerError",
     "Mesh",
-    "NoAnswerError",
+    "NoResponseError",
     "PeerAddress",
     "Request",
+    "ResponseTimeoutError",
     "asgi_app",
     "new_incarnation",
     "run_daemon",
--- a/src/ferryledge/net/_http.py
+++ b/src/ferryledge/net/_http.py
@@ -53,7 +53,7 @@
         self._limiter.release_on_behalf_of(self)
 
 
-class HttpCaller:
+class HttpClient:
     """An HTTP client for one origin.
 
     :param url: base URL, such as ``http://127.0.0.1:7000``
@@ -140,7 +140,7 @@
         connection = await self._acquire_connection(connect_s)
         try:
             return await connection.call(request, answer_s, rate)
-        except _http_connection.LateAnswerError:
+        except _http_connection.ResponseTimeoutError:
             if self._replace_idle:
                 await self.close()
             raise
--- a/src/ferryledge/net/_http_connection.py
+++ b/src/ferryledge/net/_http_connection.py
@@ -17,11 +17,11 @@
     """No connection could be opened; the request was not sent."""
 
 
-class NoAnswerError(CallError):
+class NoResponseError(CallError):
     """No response was received; the server may have handled the request."""
 
 
-class LateAnswerError(NoAnswerError):
+class ResponseTimeoutError(NoResponseError):
     """No response was received within the time-out."""
 
 
@@ -74,13 +74,13 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
-            self._fail(NoAnswerError(f"unreadable response: {exc}"))
+            self._fail(NoResponseError(f"unreadable response: {exc}"))
         if self._rate is not None and not self._response.done():
             self._throttle(len(data))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the pending call."""
-        self._fail(NoAnswerError("the connection was lost"))
+        self._fail(NoResponseError("the connection was lost"))
 
     # Called by the parser.
 
@@ -151,7 +151,7 @@
     def _start_timeout(self) -> None:
         if self._timeout_s is None:
             return
-        error = LateAnswerError("no response within the time-out")
+        error = ResponseTimeoutError("no response within the time-out")
         loop = asyncio.get_running_loop()
         self._timeout_timer = loop.call_later(
             self._timeout_s, self._fail, error
@@ -189,7 +189,7 @@
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _fail(self, error: NoAnswerError) -> None:
+    def _fail(self, error: NoResponseError) -> None:
         self.reusable = False
         if self._response is not None and not self._response.done():
             self._response.set_exception(error)
--- a/src/ferryledge/net/_mesh.py
+++ b/src/ferryledge/net/_mesh.py
@@ -210,7 +210,7 @@
         )
 
     async def keep_dialling(self, address: PeerAddress) -> None:
-        """Keep a stream to a peer open until :meth:`forget`."""
+        """Keep a stream to a peer open until :meth:`stop_dialling`."""
         if address.name in self._dial_scopes:
             return
         backoff = _redial.RedialBackoff()
@@ -220,7 +220,8 @@
             # The peer may already have a stream, for instance one that was
             # dialled as a seed.
             await self._wait_until_closed(address.name)
-            # After ``forget()``, an open stream stays but isn't redialled.
+            # After ``stop_dialling()``, an open stream stays but isn't
+            # redialled.
             while self._dial_scopes.get(address.name) is scope:
                 result = await self._dial(address, backoff.max_attempts)
                 delay_s = backoff.delay_s(result)
@@ -251,7 +252,7 @@
             finally:
                 self._finish_reopening(name, scope)
 
-    def keep(self, name: str) -> None:
+    def cancel_reopen(self, name: str) -> None:
         """Keep the current stream; stop opening a replacement for it."""
         scope = self._reopen_scopes.pop(name, None)
         if scope is not None:
@@ -261,7 +262,7 @@
         if self._reopen_scopes.get(name) is scope:
             del self._reopen_scopes[name]
 
-    def forget(self, name: str) -> None:
+    def stop_dialling(self, name: str) -> None:
         """Stop dialling a peer; an open stream stays open."""
         scope = self._dial_scopes.pop(name, None)
         if scope is not None and name not in self._connections:
@@ -332,7 +333,7 @@
             old.close()
             self._unregister(old)
         self._connections[name] = connection
-        # ``keep()`` must not cancel a stream that is in use.
+        # ``cancel_reopen()`` must not cancel a stream that is in use.
         self._reopen_scopes.pop(name, None)
         loguru.logger.debug("stream open", step="join", peer=name)
         self._post_event(wire.PeerUp(connection.hello))
--- a/src/ferryledge/net/tests/test_http.py
+++ b/src/ferryledge/net/tests/test_http.py
@@ -9,7 +9,7 @@
 
 from ferryledge import net
 
-Use = abc.Callable[[net.HttpCaller, "_Origin"], abc.Awaitable[None]]
+Use = abc.Callable[[net.HttpClient, "_Origin"], abc.Awaitable[None]]
 
 #: Time limit of a test whose call hangs, in seconds.
 _HANG_S = 20.0
@@ -64,7 +64,7 @@
         async with listener, anyio.create_task_group() as group:
             group.start_soon(listener.serve, origin.serve)
             url = f"http://127.0.0.1:{port}"
-            caller = net.HttpCaller(url, 2, replace_idle, permit_s)
+            caller = net.HttpClient(url, 2, replace_idle, permit_s)
             await use(caller, origin)
             await caller.close()
             group.cancel_scope.cancel()
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("answer", [_OK, _CHUNKED])
 def test_calls_share_a_connection(answer: bytes) -> None:
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         origin.answer = answer
         for _ in range(5):
             response = await caller.call("POST", "/hold", b"{}")
@@ -85,7 +85,7 @@
 
 
 def test_connection_with_close_header_is_not_reused() -> None:
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         origin.answer = _CLOSING
         for _ in range(2):
             assert (await caller.call("GET", "/")).status == 200
@@ -94,7 +94,7 @@
 
 
 def test_idle_connection_closed_by_the_server_is_replaced() -> None:
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         origin.close_after_response = True
         for _ in range(2):
             assert (await caller.call("GET", "/")).status == 200
@@ -104,11 +104,11 @@
 
 
 def test_missing_response_and_failed_connect_raise_different_errors() -> None:
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         origin.answer = None
-        with pytest.raises(net.NoAnswerError):
+        with pytest.raises(net.NoResponseError):
             await caller.call("GET", "/", answer_s=0.05)
-        unreachable = net.HttpCaller("http://127.0.0.1:1", 1)
+        unreachable = net.HttpClient("http://127.0.0.1:1", 1)
         with pytest.raises(net.ConnectError):
             await unreachable.call("GET", "/")
 
@@ -116,9 +116,9 @@
 
 
 def test_malformed_response_raises_no_answer_error() -> None:
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         origin.answer = b"SMTP ready\r\n\r\n"
-        with pytest.raises(net.NoAnswerError):
+        with pytest.raises(net.NoResponseError):
             await caller.call("GET", "/")
 
     _run(use)
@@ -128,9 +128,9 @@
     """An unresponsive connection costs a single call."""
     responses = itertools.chain([None], itertools.repeat(_OK))
 
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         origin.answer = next(responses)
-        with pytest.raises(net.NoAnswerError):
+        with pytest.raises(net.NoResponseError):
             await caller.call("GET", "/", answer_s=0.05)
         origin.answer = next(responses)
         assert (await caller.call("GET", "/", answer_s=0.5)).status == 200
@@ -146,7 +146,7 @@
 ) -> None:
     """When all connections become unresponsive, only one call fails."""
 
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         async with anyio.create_task_group() as group:
             for _ in range(2):
                 group.start_soon(caller.call, "GET", "/")
@@ -155,7 +155,7 @@
         for _ in range(3):
             try:
                 await caller.call("GET", "/", answer_s=0.5)
-            except net.NoAnswerError:
+            except net.NoResponseError:
                 failures += 1
         assert failures == expected_failures
 
@@ -168,7 +168,7 @@
     Otherwise orders to an endpoint time out while lost ones hold all permits.
     """
 
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         origin.answer = None
         async with anyio.create_task_group() as group:
             for _ in range(4):
@@ -185,7 +185,7 @@
 
 
 def test_idle_connections_are_limited() -> None:
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         for _ in range(2):
             async with anyio.create_task_group() as group:
                 for _ in range(6):
@@ -195,7 +195,7 @@
 
 
 def test_headers_override_the_defaults() -> None:
-    async def use(caller: net.HttpCaller, origin: _Origin) -> None:
+    async def use(caller: net.HttpClient, origin: _Origin) -> None:
         await caller.call("GET", "/a?b=c", headers=[("host", "desk.example")])
 
     (request,) = _run(use).requests
--- a/src/ferryledge/net/tests/test_http_pace.py
+++ b/src/ferryledge/net/tests/test_http_pace.py
@@ -90,7 +90,7 @@
 
 def test_stalled_response_times_out() -> None:
     async def main() -> None:
-        with pytest.raises(_http_connection.LateAnswerError):
+        with pytest.raises(_http_connection.ResponseTimeoutError):
             try:
                 await _respond(float("inf"), 0.1, parts=3)
             except BaseExceptionGroup as group:
--- a/src/ferryledge/net/tests/test_mesh.py
+++ b/src/ferryledge/net/tests/test_mesh.py
@@ -79,15 +79,15 @@
 async def test_new_stream_replaces_an_unresponsive_one() -> None:
     async with _connected() as pair:
         pair.proxy.silence()
-        pair.agent.mesh.send("entry-0", wire.AskLease(1))
+        pair.agent.mesh.send("entry-0", wire.GrantRequest(1))
         pair.group.start_soon(pair.agent.mesh.reopen, "entry-0")
         await _until(lambda: pair.agent.count(wire.PeerUp) == 2)
         await _until(lambda: pair.entry.count(wire.PeerUp) == 2)
-        pair.agent.mesh.send("entry-0", wire.AskLease(2))
-        await _until(lambda: pair.entry.received(wire.AskLease(2)))
-        pair.entry.mesh.send("agent-0", wire.GrantLease(2))
-        await _until(lambda: pair.agent.received(wire.GrantLease(2)))
-        assert not pair.entry.received(wire.AskLease(1))
+        pair.agent.mesh.send("entry-0", wire.GrantRequest(2))
+        await _until(lambda: pair.entry.received(wire.GrantRequest(2)))
+        pair.entry.mesh.send("agent-0", wire.LeaseGrant(2))
+        await _until(lambda: pair.agent.received(wire.LeaseGrant(2)))
+        assert not pair.entry.received(wire.GrantRequest(1))
         # The dialling loop doesn't open a third stream.
         await anyio.sleep(0.3)
         assert pair.agent.count(wire.PeerUp) == 2
@@ -98,9 +98,9 @@
         pair.proxy.weather.delay_s = 0.05
         pair.group.start_soon(pair.agent.mesh.reopen, "entry-0")
         await anyio.sleep(0.02)
-        pair.agent.mesh.keep("entry-0")
-        pair.agent.mesh.send("entry-0", wire.AskLease(1))
-        await _until(lambda: pair.entry.received(wire.AskLease(1)))
+        pair.agent.mesh.cancel_reopen("entry-0")
+        pair.agent.mesh.send("entry-0", wire.GrantRequest(1))
+        await _until(lambda: pair.entry.received(wire.GrantRequest(1)))
         await anyio.sleep(0.3)
         assert pair.agent.count(wire.PeerUp) == 1
         assert not pair.agent.count(wire.PeerDown)
@@ -111,5 +111,5 @@
         pair.proxy.silence()
         pair.agent.mesh.close("entry-0")
         await _until(lambda: pair.agent.count(wire.PeerUp) == 2)
-        pair.agent.mesh.send("entry-0", wire.AskLease(1))
-        await _until(lambda: pair.entry.received(wire.AskLease(1)))
+        pair.agent.mesh.send("entry-0", wire.GrantRequest(1))
+        await _until(lambda: pair.entry.received(wire.GrantRequest(1)))
--- a/src/ferryledge/platform/__init__.py
+++ b/src/ferryledge/platform/__init__.py
@@ -43,7 +43,7 @@
     parse_job = _jobs.parse_job
     parse_settings = _settings.parse_settings
     read_settings = _settings.read_settings
-    refusal = _jobs.refusal
+    render_refusal = _jobs.render_refusal
     render_outcome = _jobs.render_outcome
     render_pending = _jobs.render_pending
     render_running = _jobs.render_running
@@ -76,7 +76,7 @@
                 "UnsupportedJobError",
                 "parse_deadline",
                 "parse_job",
-                "refusal",
+                "render_refusal",
                 "render_outcome",
                 "render_pending",
                 "render_running",
@@ -127,9 +127,9 @@
     "parse_job",
     "parse_settings",
     "read_settings",
-    "refusal",
     "render_outcome",
     "render_pending",
+    "render_refusal",
     "render_running",
     "split_address",
 ]
--- a/src/ferryledge/platform/_endpoint.py
+++ b/src/ferryledge/platform/_endpoint.py
@@ -19,12 +19,12 @@
 _CONNECT_S = 0.2
 
 _HOW_ENDED = {
-    "done": wire.HowEnded.DONE,
-    "failed": wire.HowEnded.FAILED,
-    "stopped": wire.HowEnded.STOPPED,
-    "lapsed": wire.HowEnded.LAPSED,
-    "broken": wire.HowEnded.STOPPED,
-    "alone": wire.HowEnded.STOPPED,
+    "done": wire.RunOutcome.DONE,
+    "failed": wire.RunOutcome.FAILED,
+    "stopped": wire.RunOutcome.STOPPED,
+    "lapsed": wire.RunOutcome.LAPSED,
+    "broken": wire.RunOutcome.STOPPED,
+    "alone": wire.RunOutcome.STOPPED,
 }
 _START_RESULTS = {
     "fence": leases.StartResult.FENCED,
@@ -100,10 +100,10 @@
     ) -> None:
         self._now = now
         url = f"http://{address}"
-        self._order_caller = net.HttpCaller(
+        self._order_caller = net.HttpClient(
             url, _ORDER_CONNECTIONS, permit_s=_ORDER_PERMIT_S
         )
-        self._renewal_caller = net.HttpCaller(url, 1)
+        self._renewal_caller = net.HttpClient(url, 1)
 
     async def close(self) -> None:
         """Close all connections that are not in use."""
@@ -121,7 +121,7 @@
         }
         try:
             response = await self._call(
-                "/run-start", fields, order.incarnation, order.answer_s
+                "/run-start", fields, order.incarnation, order.answer_timeout_s
             )
         except net.ConnectError:
             return _start_answered(order, leases.StartResult.DOWN, 0)
@@ -140,7 +140,7 @@
         }
         try:
             response = await self._call(
-                "/run-stop", fields, order.incarnation, order.answer_s
+                "/run-stop", fields, order.incarnation, order.answer_timeout_s
             )
         except net.CallError:
             return leases.StopAnswered(order.key, order.incarnation, False)
@@ -164,7 +164,7 @@
         return await self._send_renewal(renewal, self._renewal_caller)
 
     async def _send_renewal(
-        self, renewal: leases.Renewal, caller: net.HttpCaller
+        self, renewal: leases.Renewal, caller: net.HttpClient
     ) -> leases.LeaseRenewed | leases.LeaseNotRenewed:
         fields: dict[str, object] = {
             "FencingToken": renewal.token,
@@ -175,14 +175,14 @@
         if renewal.wait_ms:
             fields["WaitMs"] = renewal.wait_ms
         sent_at = self._now()
-        wait_s = renewal.wait_ms / 1000.0 + renewal.slack_s
+        wait_s = renewal.wait_ms / 1000.0 + renewal.timeout_slack_s
         try:
             response = await self._call(
                 "/hold", fields, renewal.incarnation, wait_s, caller
             )
         except net.ConnectError:
             return _not_renewed(renewal, leases.CallFault.DOWN)
-        except net.LateAnswerError:
+        except net.ResponseTimeoutError:
             return _not_renewed(renewal, leases.CallFault.SILENT)
         except net.CallError:
             return _not_renewed(renewal, leases.CallFault.BROKEN)
@@ -205,8 +205,8 @@
         path: str,
         fields: dict[str, object],
         incarnation: str,
-        answer_s: float,
-        caller: net.HttpCaller | None = None,
+        answer_timeout_s: float,
+        caller: net.HttpClient | None = None,
     ) -> net.CallResponse:
         headers = []
         if incarnation:
@@ -218,7 +218,7 @@
             msgspec.json.encode(fields),
             headers,
             _CONNECT_S,
-            answer_s,
+            answer_timeout_s,
         )
 
 
--- a/src/ferryledge/platform/_jobs.py
+++ b/src/ferryledge/platform/_jobs.py
@@ -174,16 +174,16 @@
         case outcomes.FailedMayHaveRun(outcomes.Reason.TASK_FAILED):
             return _JobState("failed").response()
         case outcomes.Refused(reason, _, retry_after_s, detail):
-            return refusal(reason, retry_after_s, detail)
+            return render_refusal(reason, retry_after_s, detail)
         case outcomes.FailedNotRun(reason, _, retry_after_s, detail):
-            return refusal(reason, retry_after_s, detail)
+            return render_refusal(reason, retry_after_s, detail)
         case outcomes.FailedMayHaveRun(reason, _, detail):
             content = {"error": str(reason), "detail": detail, "ran": "maybe"}
             return net.HttpResponse.json(504, content)
     return net.HttpResponse.json(500, {"error": outcomes.tag_of(outcome)})
 
 
-def refusal(
+def render_refusal(
     reason: str, retry_after_s: float, detail: str = ""
 ) -> net.HttpResponse:
     """Return a response for a job that didn't run and never will.
--- a/src/ferryledge/platform/_settings.py
+++ b/src/ferryledge/platform/_settings.py
@@ -87,12 +87,12 @@
     listen_ip: str = ""
 
     @property
-    def longest_lease_s(self) -> float:
+    def max_lease_s(self) -> float:
         """Maximum duration of a lease at an endpoint, in seconds."""
         return self.bounds.hold_max_ms / 1000.0
 
     @property
-    def stop_s(self) -> float:
+    def max_stop_s(self) -> float:
         """Maximum time that an endpoint takes to stop a run, in seconds."""
         return self.bounds.stop_ms / 1000.0
 
--- a/src/ferryledge/platform/_store.py
+++ b/src/ferryledge/platform/_store.py
@@ -85,15 +85,15 @@
         self._window_bytes = window_bytes
         self._caller = self._create_caller()
 
-    def _create_caller(self) -> net.HttpCaller:
-        return net.HttpCaller(
+    def _create_caller(self) -> net.HttpClient:
+        return net.HttpClient(
             f"http://{self._address}",
             _CONNECTIONS,
             replace_idle=True,
             window_bytes=self._window_bytes,
         )
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Use another address for new calls; calls in progress continue."""
         if address != self._address:
             self._address = address
@@ -103,7 +103,7 @@
         """Close all connections that are not in use."""
         await self._caller.close()
 
-    async def newest(
+    async def read_newest(
         self,
         topic: str,
         partition: int = 0,
@@ -146,7 +146,7 @@
         topic: str,
         offset: int,
         wait_s: float,
-        most_kb: int = _MAX_READ_KB,
+        max_kb: int = _MAX_READ_KB,
         rate: Rate | None = None,
     ) -> KeyedPage:
         """Return the records from an offset on, and wait if there are none.
@@ -154,7 +154,7 @@
         :param topic: a topic that keeps the newest record of each key
         :param offset: offset of the first record
         :param wait_s: maximum wait for a record in seconds
-        :param most_kb: approximate size limit in kB; records are not
+        :param max_kb: approximate size limit in kB; records are not
             truncated
         :param rate: limits how fast the answer is read; defaults to no limit
         :raises RecordsGoneError: if the offset is no longer stored
@@ -162,7 +162,7 @@
         """
         path = (
             f"/log-read?Topic={topic}&part=0&From={offset}"
-            f"&WaitMs={int(wait_s * 1000.0)}&MaxKb={most_kb}"
+            f"&WaitMs={int(wait_s * 1000.0)}&MaxKb={max_kb}"
         )
         content = await self._call(
             "GET", path, answer_s=wait_s + _ANSWER_S, rate=rate
--- a/src/ferryledge/platform/standin/_client.py
+++ b/src/ferryledge/platform/standin/_client.py
@@ -28,7 +28,7 @@
 
 
 async def submit(
-    caller: net.HttpCaller,
+    caller: net.HttpClient,
     queue: str,
     job: str,
     spec: str,
--- a/src/ferryledge/platform/standin/_endpoint.py
+++ b/src/ferryledge/platform/standin/_endpoint.py
@@ -65,7 +65,7 @@
         self._service = service
         self._host = host
         self._port = port
-        self._caller = net.HttpCaller(agent_url, 1)
+        self._caller = net.HttpClient(agent_url, 1)
         self._rng = rng
         #: Start time of the endpoint, and when the agent first answered a
         #: heartbeat of this start that reported draining.
--- a/src/ferryledge/platform/tests/test_calls.py
+++ b/src/ferryledge/platform/tests/test_calls.py
@@ -39,7 +39,7 @@
         store = platform.StoreClient(f"127.0.0.1:{port}")
         for value in (b"old", b"new"):
             await store.put("keyed.t", platform.KeyedRecord("k", value))
-        page = await store.newest("keyed.t")
+        page = await store.read_newest("keyed.t")
         assert page.records == (platform.KeyedRecord("k", b"new"),)
         await store.put("keyed.t", platform.KeyedRecord("l", b""))
         later = await store.read("keyed.t", page.next_offset, 0.0)
@@ -57,7 +57,7 @@
     async def use(port: int) -> None:
         store = platform.StoreClient(f"127.0.0.1:{port}")
         with pytest.raises(platform.StoreError, match="503"):
-            await store.newest("keyed.t")
+            await store.read_newest("keyed.t")
 
     _serve(server.handle, use)
 
@@ -94,7 +94,7 @@
     async def main() -> None:
         store = platform.StoreClient("127.0.0.1:9")
         with pytest.raises(platform.StoreError):
-            await store.newest("keyed.t")
+            await store.read_newest("keyed.t")
 
     anyio.run(main)
 
--- a/src/ferryledge/proofs/_promises.py
+++ b/src/ferryledge/proofs/_promises.py
@@ -128,7 +128,7 @@
     truth = configlog.Follower()
     page = world.log.read(0)
     if page is not None:
-        truth.accept(page, 0.0)
+        truth.apply_page(page, 0.0)
     wanted = truth.snapshot.version
     for name, reader in world.readers.items():
         node = world.nodes[name]
--- a/src/ferryledge/runtime/__init__.py
+++ b/src/ferryledge/runtime/__init__.py
@@ -12,7 +12,7 @@
 Handler = net.Handler
 CallError = net.CallError
 ConnectError = net.ConnectError
-HttpCaller = net.HttpCaller
+HttpClient = net.HttpClient
 HttpResponse = net.HttpResponse
 Mesh = net.Mesh
 Metrics = _metrics.Metrics
@@ -39,7 +39,7 @@
     "ConnectError",
     "Driver",
     "Handler",
-    "HttpCaller",
+    "HttpClient",
     "HttpResponse",
     "Mesh",
     "Metrics",
--- a/src/ferryledge/runtime/_platform.py
+++ b/src/ferryledge/runtime/_platform.py
@@ -90,7 +90,7 @@
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
-        self._caller = net.HttpCaller(self._url, _MAX_CONNECTIONS)
+        self._caller = net.HttpClient(self._url, _MAX_CONNECTIONS)
 
     async def close(self) -> None:
         """Close all connections."""
--- a/src/ferryledge/soak/_clients.py
+++ b/src/ferryledge/soak/_clients.py
@@ -74,11 +74,11 @@
             await asyncio.sleep(_TRY_S)
         return False
 
-    def _callers(self) -> list[net.HttpCaller]:
+    def _callers(self) -> list[net.HttpClient]:
         return [entry_caller(n) for n in range(self._plan.entries)]
 
     async def _submit(
-        self, rng: random.Random, callers: list[net.HttpCaller], job: str
+        self, rng: random.Random, callers: list[net.HttpClient], job: str
     ) -> None:
         tasks = rng.randint(1, 6)
         work_s = rng.choice((0.05, 0.2, 0.8))
@@ -106,8 +106,8 @@
             await asyncio.sleep(_REPEAT_S)
 
     def _turn_to(
-        self, rng: random.Random, callers: list[net.HttpCaller]
-    ) -> list[net.HttpCaller]:
+        self, rng: random.Random, callers: list[net.HttpClient]
+    ) -> list[net.HttpClient]:
         """Return the entries to try, in order."""
         chosen = rng.sample(callers, min(2, len(callers)))
         if self.crowded is not None:
@@ -115,7 +115,7 @@
         return chosen
 
 
-def entry_caller(number: int) -> net.HttpCaller:
+def entry_caller(number: int) -> net.HttpClient:
     """Return a caller of an entry, as clients are."""
     host = _deployment.entry_host(number)
-    return net.HttpCaller(f"http://{host}:{_deployment.FRONTEND_PORT}", 4)
+    return net.HttpClient(f"http://{host}:{_deployment.FRONTEND_PORT}", 4)
--- a/src/ferryledge/soak/_judge.py
+++ b/src/ferryledge/soak/_judge.py
@@ -135,7 +135,7 @@
         """Judge no run that was found so far: something else struck."""
         self._found.clear()
 
-    def ended(self, key: leases.RunKey, how: wire.HowEnded) -> None:
+    def ended(self, key: leases.RunKey, how: wire.RunOutcome) -> None:
         """Note how a run ended.
 
         One that a successor found ends by itself, unless nobody waits for
@@ -144,12 +144,12 @@
         job = self._jobs.get(key.job)
         if job is None:
             return
-        if how is wire.HowEnded.FAILED:
+        if how is wire.RunOutcome.FAILED:
             job.failures[(key.step, key.index)] += 1
         if key not in self._found:
             return
         self._found.discard(key)
-        if how in (wire.HowEnded.DONE, wire.HowEnded.FAILED):
+        if how in (wire.RunOutcome.DONE, wire.RunOutcome.FAILED):
             self.adopted += 1
             return
         is_awaited = len(job.answers) < job.tries
--- a/src/ferryledge/soak/_operators.py
+++ b/src/ferryledge/soak/_operators.py
@@ -72,7 +72,7 @@
 
     async def _look(
         self,
-        caller: net.HttpCaller,
+        caller: net.HttpClient,
         program: _processes.Program,
         version: int,
     ) -> None:
--- a/src/ferryledge/soak/_run.py
+++ b/src/ferryledge/soak/_run.py
@@ -102,7 +102,7 @@
         how = next((end.how for end in model.ended if end.key == key), None)
         if how is None:
             return
-        if how is wire.HowEnded.DONE:
+        if how is wire.RunOutcome.DONE:
             self.judge.done(key)
         self.judge.ended(key, how)
 
--- a/src/ferryledge/soak/tests/test_soak.py
+++ b/src/ferryledge/soak/tests/test_soak.py
@@ -110,7 +110,7 @@
     judge.submitted(KEY.job, 1)
     for run in range(failures):
         key = msgspec.structs.replace(KEY, run=run + 1)
-        judge.ended(key, wire.HowEnded.FAILED)
+        judge.ended(key, wire.RunOutcome.FAILED)
     judge.answered(KEY.job, platform_standin.ClientState.FAILED)
     assert [one.promise for one in judge.findings] == found
 
@@ -162,14 +162,14 @@
 @pytest.mark.parametrize("how", ["stopped", "lapsed"])
 def test_run_that_is_found_and_then_cut_off_is_noted(how: str) -> None:
     judge = found_run()
-    judge.ended(KEY, wire.HowEnded(how))
+    judge.ended(KEY, wire.RunOutcome(how))
     assert [one.promise for one in judge.findings] == ["adopt"]
     assert not judge.adopted
 
 
 def test_run_that_is_found_and_ends_is_adopted() -> None:
     judge = found_run()
-    judge.ended(KEY, wire.HowEnded.DONE)
+    judge.ended(KEY, wire.RunOutcome.DONE)
     assert judge.adopted == 1
     assert not judge.findings
 
@@ -177,7 +177,7 @@
 def test_run_that_nobody_waits_for_may_be_stopped() -> None:
     judge = found_run()
     judge.answered(KEY.job, platform_standin.ClientState.UNKNOWN)
-    judge.ended(KEY, wire.HowEnded.STOPPED)
+    judge.ended(KEY, wire.RunOutcome.STOPPED)
     assert not judge.findings
 
 
@@ -185,7 +185,7 @@
     judge = found_run()
     judge.watch("end", KEY, "endpoint-0")
     judge.watch("start", msgspec.structs.replace(KEY, run=2), "endpoint-1")
-    judge.ended(KEY, wire.HowEnded.STOPPED)
+    judge.ended(KEY, wire.RunOutcome.STOPPED)
     assert not judge.findings
 
 
--- a/src/ferryledge/standin/_leased_endpoint.py
+++ b/src/ferryledge/standin/_leased_endpoint.py
@@ -136,18 +136,20 @@
             self._at = step
             if self.runs and self.clock_ms(step) > self._lease_ms:
                 for key in list(self.runs):
-                    self._end(key, wire.HowEnded.LAPSED)
+                    self._end(key, wire.RunOutcome.LAPSED)
                 continue
             for run in list(self.runs.values()):
                 run.left_s -= passed * self.speed
                 if run.stops_at is not None and run.stops_at <= step:
-                    self._end(run.key, wire.HowEnded.STOPPED)
+                    self._end(run.key, wire.RunOutcome.STOPPED)
                 elif run.left_s <= 0:
                     _, ok = self._work_of(run.key, self.name)
-                    how = wire.HowEnded.DONE if ok else wire.HowEnded.FAILED
+                    how = (
+                        wire.RunOutcome.DONE if ok else wire.RunOutcome.FAILED
+                    )
                     self._end(run.key, how)
 
-    def _end(self, key: leases.RunKey, how: wire.HowEnded) -> None:
+    def _end(self, key: leases.RunKey, how: wire.RunOutcome) -> None:
         del self.runs[key]
         self._ends += 1
         self.ended.append(leases.ListedEnd(self._ends, key, how))
--- a/src/ferryledge/wire/__init__.py
+++ b/src/ferryledge/wire/__init__.py
@@ -21,7 +21,7 @@
 
 AbandonJobs = _messages.AbandonJobs
 AgentSet = _messages.AgentSet
-AskTickets = _messages.AskTickets
+TicketRequest = _messages.TicketRequest
 Authorise = _messages.Authorise
 CancelJob = _messages.CancelJob
 CancelRequest = _messages.CancelRequest
@@ -32,7 +32,7 @@
 FenceReport = _messages.FenceReport
 FencedJob = _messages.FencedJob
 FinishedTask = _messages.FinishedTask
-FrontTask = _messages.FrontTask
+PlacedTask = _messages.PlacedTask
 Hello = _messages.Hello
 JobAnswered = _messages.JobAnswered
 KeepAlive = _messages.KeepAlive
@@ -56,7 +56,7 @@
 Verdict = _messages.Verdict
 VerdictTag = _messages.VerdictTag
 
-AskLease = _lease_messages.AskLease
+GrantRequest = _lease_messages.GrantRequest
 ClaimRuns = _lease_messages.ClaimRuns
 ConfigDelta = _lease_messages.ConfigDelta
 ConfigPiece = _lease_messages.ConfigPiece
@@ -65,17 +65,17 @@
 EntryAddress = _lease_messages.EntryAddress
 EntryList = _lease_messages.EntryList
 Invite = _lease_messages.Invite
-SeekAgents = _lease_messages.SeekAgents
-GrantLease = _lease_messages.GrantLease
+InviteAgents = _lease_messages.InviteAgents
+LeaseGrant = _lease_messages.LeaseGrant
 HeldRun = _lease_messages.HeldRun
-HowEnded = _lease_messages.HowEnded
+RunOutcome = _lease_messages.RunOutcome
 LateRun = _lease_messages.LateRun
 LateRuns = _lease_messages.LateRuns
 LeaseMessage = _lease_messages.LeaseMessage
-NotStarted = _lease_messages.NotStarted
+RunReleaseReason = _lease_messages.RunReleaseReason
 OrderRuns = _lease_messages.OrderRuns
 Resources = _lease_messages.Resources
-RoomWanted = _lease_messages.RoomWanted
+UrgencyReport = _lease_messages.UrgencyReport
 RunEnd = _lease_messages.RunEnd
 RunsEnded = _lease_messages.RunsEnded
 RunsHeld = _lease_messages.RunsHeld
@@ -84,18 +84,18 @@
 TaskRun = _lease_messages.TaskRun
 ZoneFailures = _lease_messages.ZoneFailures
 
-AskHandedIn = _handover_messages.AskHandedIn
-AskRoom = _handover_messages.AskRoom
-Declined = _handover_messages.Declined
-GrantHandedIn = _handover_messages.GrantHandedIn
+HandoverGrantRequest = _handover_messages.HandoverGrantRequest
+CapacityRequest = _handover_messages.CapacityRequest
+DeclineReason = _handover_messages.DeclineReason
+HandoverGrant = _handover_messages.HandoverGrant
 HandoverMessage = _handover_messages.HandoverMessage
-HowHandled = _handover_messages.HowHandled
-JobHandled = _handover_messages.JobHandled
+HandoverOutcome = _handover_messages.HandoverOutcome
+HandoverEnded = _handover_messages.HandoverEnded
 OfferAnswered = _handover_messages.OfferAnswered
 OfferJob = _handover_messages.OfferJob
-OfferedClass = _handover_messages.OfferedClass
+OfferedJobClass = _handover_messages.OfferedJobClass
 OfferedStep = _handover_messages.OfferedStep
-RoomTold = _handover_messages.RoomTold
+CapacityReport = _handover_messages.CapacityReport
 WithdrawJob = _handover_messages.WithdrawJob
 
 accept = _handshake.accept
@@ -105,22 +105,20 @@
 __all__ = [
     "AbandonJobs",
     "AgentSet",
-    "AskHandedIn",
-    "AskLease",
-    "AskRoom",
-    "AskTickets",
     "AuthenticationError",
     "Authorise",
     "CancelJob",
     "CancelRequest",
     "CancelTasks",
+    "CapacityReport",
+    "CapacityRequest",
     "ClaimRuns",
     "ConfigDelta",
     "ConfigPiece",
     "ConfigReply",
     "ConfigRequest",
     "CordonedZones",
-    "Declined",
+    "DeclineReason",
     "Decoder",
     "EndpointState",
     "EntryAddress",
@@ -130,27 +128,27 @@
     "FenceReport",
     "FencedJob",
     "FinishedTask",
-    "FrontTask",
-    "GrantHandedIn",
-    "GrantLease",
+    "GrantRequest",
+    "HandoverEnded",
+    "HandoverGrant",
+    "HandoverGrantRequest",
     "HandoverMessage",
+    "HandoverOutcome",
     "HeldRun",
     "Hello",
-    "HowEnded",
-    "HowHandled",
     "Invite",
+    "InviteAgents",
     "JobAnswered",
-    "JobHandled",
     "KeepAlive",
     "LateRun",
     "LateRuns",
+    "LeaseGrant",
     "LeaseMessage",
     "Leaving",
     "Message",
-    "NotStarted",
     "OfferAnswered",
     "OfferJob",
-    "OfferedClass",
+    "OfferedJobClass",
     "OfferedStep",
     "OrderRuns",
     "OutcomeRecord",
@@ -158,19 +156,19 @@
     "PeerDown",
     "PeerUp",
     "PlaceJob",
+    "PlacedTask",
     "Received",
     "Reconcile",
     "ReleaseReason",
     "ReportNow",
     "Resources",
     "Role",
-    "RoomTold",
-    "RoomWanted",
     "RunEnd",
+    "RunOutcome",
+    "RunReleaseReason",
     "RunsEnded",
     "RunsHeld",
     "RunsReleased",
-    "SeekAgents",
     "Settle",
     "StartTasks",
     "StopRuns",
@@ -178,7 +176,9 @@
     "TaskRun",
     "TasksFinished",
     "TasksReleased",
+    "TicketRequest",
     "Tickets",
+    "UrgencyReport",
     "Verdict",
     "VerdictTag",
     "WireError",
--- a/src/ferryledge/wire/_handover_messages.py
+++ b/src/ferryledge/wire/_handover_messages.py
@@ -12,14 +12,14 @@
 from ferryledge.wire import _messages
 
 
-class AskRoom(_messages.Model, frozen=True, tag="ask-room"):
+class CapacityRequest(_messages.Model, frozen=True, tag="ask-room"):
     """Request for the free capacity that an entry offers to others."""
 
     #: Service of the endpoints that the jobs need.
     service: str
 
 
-class RoomTold(_messages.Model, frozen=True, tag="room"):
+class CapacityReport(_messages.Model, frozen=True, tag="room"):
     """The capacity that the sender can offer to other entries."""
 
     #: Number of the report, counted from 1 by the sender; offers refer to it.
@@ -29,7 +29,7 @@
     cpu_millis: int
 
 
-class OfferedClass(_messages.Model, frozen=True):
+class OfferedJobClass(_messages.Model, frozen=True):
     """The class of an offered job, as operators configured it."""
 
     name: str
@@ -62,12 +62,12 @@
     delegator: str
     #: Incarnation of the receiver that the offer is for.
     delegate: str
-    #: Number of the :class:`RoomTold` that the offer is based on.
-    room: int
+    #: Number of the :class:`CapacityReport` that the offer is based on.
+    capacity_report: int
     job: str
     #: The client's specification of the work, packed.
     packed_spec: bytes
-    job_class: OfferedClass
+    job_class: OfferedJobClass
     steps: tuple[OfferedStep, ...]
     #: Seconds since the job arrived.
     waited_s: float
@@ -76,7 +76,7 @@
     deadline_s: float = 0.0
 
 
-class Declined(enum.StrEnum):
+class DeclineReason(enum.StrEnum):
     """Why an entry declined an offer."""
 
     #: The offer is for another incarnation, or is based on a report of free
@@ -96,10 +96,10 @@
     delegator: str
     number: int
     #: Why the offer was declined; none if it was accepted.
-    declined: Declined | None = None
+    declined: DeclineReason | None = None
 
 
-class HowHandled(enum.StrEnum):
+class HandoverOutcome(enum.StrEnum):
     """How a handed-over job ended at the delegate."""
 
     DONE = "done"
@@ -111,12 +111,12 @@
     STOPPED = "stopped"
 
 
-class JobHandled(_messages.Model, frozen=True, tag="handled"):
+class HandoverEnded(_messages.Model, frozen=True, tag="handled"):
     """The end of a handed-over job, reported to the delegator."""
 
     delegator: str
     number: int
-    how: HowHandled
+    how: HandoverOutcome
     #: A value of :class:`ferryledge.outcomes.Reason`; empty unless the job
     #: failed.
     reason: str = ""
@@ -131,7 +131,7 @@
     number: int
 
 
-class AskHandedIn(_messages.Model, frozen=True, tag="ask-handed-in"):
+class HandoverGrantRequest(_messages.Model, frozen=True, tag="ask-handed-in"):
     """Request for a grant to go on running jobs of the delegator."""
 
     delegator: str
@@ -140,7 +140,7 @@
     offers: tuple[int, ...]
 
 
-class GrantHandedIn(_messages.Model, frozen=True, tag="grant-handed-in"):
+class HandoverGrant(_messages.Model, frozen=True, tag="grant-handed-in"):
     """A grant, which starts when the request with this number was sent.
 
     The receiver stops the requested jobs that the grant does not list. The
@@ -153,12 +153,12 @@
 
 
 HandoverMessage = (
-    AskRoom
-    | RoomTold
+    CapacityRequest
+    | CapacityReport
     | OfferJob
     | OfferAnswered
-    | JobHandled
+    | HandoverEnded
     | WithdrawJob
-    | AskHandedIn
-    | GrantHandedIn
+    | HandoverGrantRequest
+    | HandoverGrant
 )
--- a/src/ferryledge/wire/_lease_messages.py
+++ b/src/ferryledge/wire/_lease_messages.py
@@ -64,17 +64,17 @@
     endpoint: str
     #: Expected run time of one task at normal speed, in seconds.
     expected_s: float = 0.0
-    #: Number of the receiver's last :class:`AskLease` that arrived. The
-    #: order is also a grant, as a :class:`GrantLease` with this number.
+    #: Number of the receiver's last :class:`GrantRequest` that arrived. The
+    #: order is also a grant, as a :class:`LeaseGrant` with this number.
     ask_seen: int = 0
     #: The packed specification, for receivers that accept packed texts.
     packed_spec: bytes = b""
     #: Milliseconds by which the grant is shortened, as in
-    #: :class:`GrantLease`.
+    #: :class:`LeaseGrant`.
     shorten_by_ms: int = 0
 
 
-class NotStarted(enum.StrEnum):
+class RunReleaseReason(enum.StrEnum):
     """Why an agent did not start a run."""
 
     #: The agent's availability zone accepts no new work.
@@ -93,10 +93,10 @@
 
     job: str
     runs: tuple[TaskRun, ...]
-    reason: NotStarted
+    reason: RunReleaseReason
 
 
-class HowEnded(enum.StrEnum):
+class RunOutcome(enum.StrEnum):
     """How a run ended."""
 
     DONE = "done"
@@ -114,7 +114,7 @@
     """The end of one run."""
 
     run: TaskRun
-    how: HowEnded
+    how: RunOutcome
     #: Run time in seconds.
     run_s: float
     #: Number of jobs that lost runs, if the endpoint disappeared without
@@ -128,7 +128,7 @@
     job: str
     ends: tuple[RunEnd, ...]
     #: Number of a request that the message includes, as an
-    #: :class:`AskLease` that must be answered; 0 if it includes none.
+    #: :class:`GrantRequest` that must be answered; 0 if it includes none.
     ask: int = 0
 
 
@@ -228,7 +228,7 @@
     steady: float = 1.0
 
 
-class RoomWanted(_messages.Model, frozen=True, tag="wanted"):
+class UrgencyReport(_messages.Model, frozen=True, tag="wanted"):
     """How urgently the sender needs capacity of the receiver's endpoint."""
 
     #: Seconds until the virtual deadline of its most urgent waiting job; may
@@ -236,7 +236,7 @@
     start_by_s: float | None
 
 
-class AskLease(_messages.Model, frozen=True, tag="ask-lease"):
+class GrantRequest(_messages.Model, frozen=True, tag="ask-lease"):
     """Request for a grant to go on renewing the leases of an entry's runs.
 
     The answer also shows that the stream works and that all messages sent
@@ -246,10 +246,10 @@
     number: int
     #: Whether the sender waits for the answer. If not, the receiver may skip
     #: it while it has no runs at the sender.
-    wanted: bool = False
+    needs_answer: bool = False
 
 
-class GrantLease(_messages.Model, frozen=True, tag="grant-lease"):
+class LeaseGrant(_messages.Model, frozen=True, tag="grant-lease"):
     """A grant, which starts when the request with this number was sent."""
 
     number: int
@@ -273,7 +273,7 @@
     entries: tuple[EntryAddress, ...]
 
 
-class SeekAgents(_messages.Model, frozen=True, tag="seek"):
+class InviteAgents(_messages.Model, frozen=True, tag="seek"):
     """Request to invite agents of the receiver to serve the sender too."""
 
     #: Address at which the sender listens.
@@ -344,11 +344,11 @@
     | ClaimRuns
     | LateRuns
     | EndpointState
-    | RoomWanted
-    | AskLease
-    | GrantLease
+    | UrgencyReport
+    | GrantRequest
+    | LeaseGrant
     | EntryList
-    | SeekAgents
+    | InviteAgents
     | Invite
     | CordonedZones
     | ConfigDelta
--- a/src/ferryledge/wire/_messages.py
+++ b/src/ferryledge/wire/_messages.py
@@ -148,7 +148,7 @@
     seqs: tuple[int, ...]
 
 
-class FrontTask(Model, frozen=True):
+class PlacedTask(Model, frozen=True):
     """A task of a job that is sent to the scheduler."""
 
     payload: bytes
@@ -162,7 +162,7 @@
     submission: str
     workspace: str
     service: str
-    tasks: tuple[FrontTask, ...]
+    tasks: tuple[PlacedTask, ...]
     #: Seconds until the client stops waiting for the job; 0 if it has no
     #: deadline.
     deadline_s: float = 0.0
@@ -283,7 +283,7 @@
     through: int = -1
 
 
-class AskTickets(Model, frozen=True, tag="ask-tickets"):
+class TicketRequest(Model, frozen=True, tag="ask-tickets"):
     """Request to an agent to mint tickets."""
 
     count: int
@@ -366,7 +366,7 @@
     | Reconcile
     | FenceOwner
     | FenceReport
-    | AskTickets
+    | TicketRequest
     | Tickets
     | Authorise
     | Verdict
--- a/src/ferryledge/wire/tests/test_codec.py
+++ b/src/ferryledge/wire/tests/test_codec.py
@@ -13,7 +13,7 @@
     wire.StartTasks("i", "f.1", "s", 1.0, 7, (0, 2), (b"1", b"2")),
     wire.TasksFinished("f.1", (wire.FinishedTask(7, 0, True, b"{}", 0.5),)),
     wire.TasksReleased("f.1", (7,), wire.ReleaseReason.BUSY, 8),
-    wire.PlaceJob("f.1", "t", "s", (wire.FrontTask(b"1", 0.1),)),
+    wire.PlaceJob("f.1", "t", "s", (wire.PlacedTask(b"1", 0.1),)),
     wire.JobAnswered("f.1", wire.OutcomeRecord("complete", (b"1",))),
     wire.Verdict("t", "f.1", wire.VerdictTag.SETTLED, None),
     wire.FenceReport("o", (wire.FencedJob("f.1", (), (1,)),)),
