--- a/src/ferryledge/standin/_command.py
+++ b/src/ferryledge/standin/_command.py
@@ -1,4 +1,4 @@
-"""The command ``ferryledge-standin``."""
+"""The command ``ferryledge-standin``, which serves a stand-in over HTTP."""
 
 import pathlib
 import sys
@@ -32,19 +32,25 @@
 
 
 _HOST = click.option(
-    "--host", default="127.0.0.1", show_default=True, help="IP number."
+    "--host",
+    default="127.0.0.1",
+    show_default=True,
+    help="IP address to listen on.",
 )
 _PORT = click.option(
-    "--port", default=0, show_default=True, help="TCP port; 0 picks one."
+    "--port",
+    default=0,
+    show_default=True,
+    help="TCP port; 0 picks a free port.",
 )
 
 
 @click.group(context_settings={"auto_envvar_prefix": "FERRYLEDGE"})
 @click.version_option(ferryledge.__version__)
 def main() -> None:
-    """Run stand-ins for what ferryledge meets: for tests and trials.
+    """Run stand-ins for the platform and for endpoints in tests.
 
-    Both print one JSON line with their port once they serve.
+    Each prints one JSON line with its port once it accepts connections.
     """
 
 
@@ -54,28 +60,30 @@
 def platform(host: str, port: int) -> None:
     """Serve the platform's log and its list of VMs.
 
-    PUT /v1/vms sets the list, PUT /control the faults, such as
+    PUT /v1/vms replaces the list. PUT /control sets faults, such as
     {"log_down": true}.
     """
     _serve(_platform.StandinPlatform().handle, host, port)
 
 
 @main.command()
-@click.option("--name", default="endpoint", help="Name in the journal.")
+@click.option(
+    "--name", default="endpoint", help="Name of the endpoint in the journal."
+)
 @click.option(
     "--journal",
     type=click.Path(dir_okay=False, path_type=pathlib.Path),
-    help="File for the journal of starts.",
+    help="File to which the journal of starts is appended.",
 )
 @_HOST
 @_PORT
 def endpoint(
     name: str, journal: pathlib.Path | None, host: str, port: int
 ) -> None:
-    """Serve tasks that sleep, fail, hang or answer late as told.
+    """Serve tasks that sleep, fail or hang on request.
 
     A task's payload may hold sleep_ms, fail, hang and echo. PUT /control
-    sets fail_all, hang_all and slowdown for all tasks; GET /journal shows
+    sets fail_all, hang_all and slowdown for all tasks. GET /journal returns
     every start.
     """
     starts = _journal.StartJournal(journal)
--- a/src/ferryledge/standin/_endpoint.py
+++ b/src/ferryledge/standin/_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint whose tasks sleep, fail, hang or answer late as told."""
+"""A stand-in endpoint whose tasks sleep, fail or hang on request."""
 
 import dataclasses
 import json
@@ -10,31 +10,31 @@
 from ferryledge import runtime
 from ferryledge.standin import _journal
 
-_MS = 1000.0
+_MS_PER_S = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointBehaviour:
-    """How all tasks of an endpoint behave, beyond what payloads ask."""
+    """Behaviour of all tasks of an endpoint, on top of their payloads."""
 
-    #: Every task fails at once.
+    #: Every task fails immediately.
     fail_all: bool = False
-    #: No task ends.
+    #: No task returns.
     hang_all: bool = False
-    #: Tasks take that many times as long.
+    #: Factor applied to the duration of every task.
     slowdown: float = 1.0
 
 
 class TaskPayload(pydantic.BaseModel):
-    """What a task's payload may ask for."""
+    """The fields of a payload that control the task; others are ignored."""
 
     model_config = pydantic.ConfigDict(extra="allow")
 
-    #: Milliseconds that the task takes.
+    #: Duration of the task in milliseconds.
     sleep_ms: float = 0.0
     fail: bool = False
     hang: bool = False
-    #: Returned as the result.
+    #: Returned in the result.
     echo: pydantic.JsonValue = None
 
 
@@ -42,7 +42,7 @@
     """Serves tasks over HTTP and keeps a journal of every start.
 
     :param name: the endpoint's name in the journal
-    :param journal: where starts are recorded
+    :param journal: records the starts
     """
 
     def __init__(self, name: str, journal: _journal.StartJournal) -> None:
@@ -50,36 +50,39 @@
         self._journal = journal
         self._behaviour = EndpointBehaviour()
         self._running = 0
-        self._most_running = 0
+        self._peak_running = 0
 
     @property
-    def most_running(self) -> int:
-        """Most tasks that ran at once."""
-        return self._most_running
+    def peak_running(self) -> int:
+        """Highest number of tasks that ran concurrently."""
+        return self._peak_running
 
-    def behave(self, behaviour: EndpointBehaviour) -> None:
-        """Change how tasks behave from now on."""
+    def set_behaviour(self, behaviour: EndpointBehaviour) -> None:
+        """Set the behaviour of tasks that start from now on."""
         self._behaviour = behaviour
 
     async def handle(self, request: runtime.Request) -> runtime.HttpResponse:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         match request.method, request.parts:
             case "POST", ("v1", "tasks", _):
-                return await self._task(request)
+                return await self._handle_task(request)
             case "PUT", ("control",):
-                told = json.loads(await request.body())
-                self.behave(EndpointBehaviour(**told))
+                settings = json.loads(await request.body())
+                self.set_behaviour(EndpointBehaviour(**settings))
                 return runtime.HttpResponse.json(200, {})
             case "GET", ("journal",):
                 entries = [
-                    dataclasses.asdict(one) for one in self._journal.entries
+                    dataclasses.asdict(start)
+                    for start in self._journal.entries
                 ]
                 return runtime.HttpResponse.json(200, entries)
         return runtime.HttpResponse.json(404, {"error": "no such page"})
 
-    async def _task(self, request: runtime.Request) -> runtime.HttpResponse:
+    async def _handle_task(
+        self, request: runtime.Request
+    ) -> runtime.HttpResponse:
         body = await request.body()
-        self._journal.note(
+        self._journal.record(
             _journal.StartEntry(
                 self._name,
                 request.header("x-ferryledge-submission"),
@@ -89,7 +92,7 @@
             )
         )
         self._running += 1
-        self._most_running = max(self._most_running, self._running)
+        self._peak_running = max(self._peak_running, self._running)
         try:
             return await self._run(body)
         finally:
@@ -105,7 +108,7 @@
             return runtime.HttpResponse.json(500, {"error": "told to fail"})
         if behaviour.hang_all or payload.hang:
             await anyio.sleep_forever()
-        await anyio.sleep(payload.sleep_ms / _MS * behaviour.slowdown)
+        await anyio.sleep(payload.sleep_ms / _MS_PER_S * behaviour.slowdown)
         result: dict[str, typing.Any] = {
             "endpoint": self._name,
             "echo": payload.echo,
--- a/src/ferryledge/standin/_journal.py
+++ b/src/ferryledge/standin/_journal.py
@@ -1,4 +1,4 @@
-"""The endpoints' own record of starts, which proofs read."""
+"""A journal of the tasks that endpoints started, read by tests."""
 
 import dataclasses
 import json
@@ -12,16 +12,17 @@
     endpoint: str
     submission: str
     task: int
-    #: The client's own name for the job.
+    #: The label that the client gave the job.
     label: str
-    #: What the payload asked for.
+    #: The beginning of the task's payload.
     payload: str
 
 
 class StartJournal:
-    """Keeps starts in memory and, if asked, in a file.
+    """Records starts in memory and optionally in a file.
 
-    :param path: file to append to, one JSON object a line; none for none
+    :param path: file to append to, one JSON object per line; defaults to no
+        file
     """
 
     def __init__(self, path: pathlib.Path | None = None) -> None:
@@ -33,14 +34,14 @@
         """All starts so far."""
         return self._entries
 
-    def note(self, entry: StartEntry) -> None:
-        """Record a start before anything else happens."""
+    def record(self, entry: StartEntry) -> None:
+        """Record a start; call it before the task runs."""
         self._entries.append(entry)
         if self._file is not None:
             line = json.dumps(dataclasses.asdict(entry))
             self._file.write(line + "\n")
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the file, if there is one."""
         if self._file is not None:
             self._file.close()
--- a/src/ferryledge/standin/_log.py
+++ b/src/ferryledge/standin/_log.py
@@ -1,4 +1,4 @@
-"""An append-only log in memory, with the faults that the brief names."""
+"""An append-only log in memory that can simulate faults."""
 
 import dataclasses
 import secrets
@@ -8,28 +8,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogBehaviour:
-    """How the log behaves."""
+    """Faults that the log simulates."""
 
-    #: It answers nothing.
+    #: Every call fails.
     down: bool = False
-    #: Seconds that each call takes.
+    #: Delay of each call, in seconds.
     delay_s: float = 0.0
-    #: Appends take effect, but their answers are lost.
+    #: Appends take effect, but fail as if the response were lost.
     lose_answers: bool = False
 
 
 class LogDownError(Exception):
-    """The log does not answer."""
+    """The log is down, or its response was lost."""
 
 
 class MemoryLog:
-    """The records of one stream.
+    """Holds the records of one stream.
 
-    :param keep: most records kept; older ones are forgotten
+    :param max_records: most records kept; an append drops the oldest ones
     """
 
-    def __init__(self, keep: int = 100_000) -> None:
-        self._keep = keep
+    def __init__(self, max_records: int = 100_000) -> None:
+        self._max_records = max_records
         self._first = 0
         self._records: list[str] = []
         self._log_id = secrets.token_hex(4)
@@ -39,24 +39,24 @@
 
     @property
     def end(self) -> int:
-        """Offset that the next append gets."""
+        """Offset of the next append."""
         return self._first + len(self._records)
 
     @property
     def appends(self) -> int:
-        """Appends so far."""
+        """Number of appends so far."""
         return self._appends
 
     async def append(self, data: str) -> int:
         """Append a record and return its offset.
 
-        :raises LogDownError: if the log is down or the answer is lost
+        :raises LogDownError: if the log is down or the response is lost
         """
-        await self._behave()
+        await self._apply_faults()
         offset = self.end
         self._records.append(data)
         self._appends += 1
-        self.forget(self.end - self._keep)
+        self.truncate(self.end - self._max_records)
         self._changed.set()
         self._changed = anyio.Event()
         if self.behaviour.lose_answers:
@@ -66,16 +66,23 @@
     async def read(
         self, position: int, limit: int, wait_s: float
     ) -> dict[str, object]:
-        """Return the page from a position on.
+        """Return a page of records.
 
+        If the position is at the end, the call waits for an append.
+
+        :param position: offset of the first record; if that was dropped, the
+            page begins at the oldest record
+        :param limit: most records of the page
+        :param wait_s: longest wait for an append, in seconds
+        :returns: the page, in the JSON form of the log's API
         :raises LogDownError: if the log is down
         """
-        await self._behave()
+        await self._apply_faults()
         if position >= self.end and wait_s:
             changed = self._changed
             with anyio.move_on_after(wait_s):
                 await changed.wait()
-            await self._behave()
+            await self._apply_faults()
         start = max(position, self._first)
         begin = start - self._first
         chunk = self._records[begin : begin + limit]
@@ -89,20 +96,20 @@
             ],
         }
 
-    def forget(self, first: int) -> None:
-        """Forget the records before an offset."""
-        drop = min(first, self.end) - self._first
-        if drop > 0:
-            del self._records[:drop]
-            self._first += drop
+    def truncate(self, first: int) -> None:
+        """Drop the records before an offset."""
+        count = min(first, self.end) - self._first
+        if count > 0:
+            del self._records[:count]
+            self._first += count
 
     def replace(self) -> None:
-        """Lose everything and start as another log."""
+        """Drop all records and restart at offset 0 under a new log id."""
         self._records = []
         self._first = 0
         self._log_id = secrets.token_hex(4)
 
-    async def _behave(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.behaviour.down:
             raise LogDownError
         if self.behaviour.delay_s:
--- a/src/ferryledge/standin/_platform.py
+++ b/src/ferryledge/standin/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's log and list of VMs over HTTP."""
+"""A stand-in for the platform: its log and its list of VMs over HTTP."""
 
 import collections
 import json
@@ -10,13 +10,14 @@
 from ferryledge.standin import _log
 
 _MAX_WAIT_S = 60.0
-_MS = 1000.0
+_MS_PER_S = 1000.0
 _VMS = pydantic.TypeAdapter(list[runtime.VmRecord])
 
 
 class StandinPlatform:
-    """Serves streams of the log, and a list of VMs that is put there.
+    """Serves streams of the log and a list of VMs.
 
+    ``PUT /v1/vms`` replaces the list.
     ``PUT /control`` sets the faults: ``log_down``, ``log_delay_s``,
     ``log_lose_answers``, ``log_forget`` (an offset), ``log_replace``,
     ``vms_down`` and ``vms_empty``.
@@ -31,7 +32,7 @@
         self._vms_empty = False
 
     def log(self, stream: str = "ferryledge") -> _log.MemoryLog:
-        """Return a stream of the log."""
+        """Return the log of a stream, created on first use."""
         return self._logs[stream]
 
     def list_vms(self, vms: list[runtime.VmRecord]) -> None:
@@ -39,7 +40,7 @@
         self._vms = list(vms)
 
     async def handle(self, request: runtime.Request) -> runtime.HttpResponse:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         match request.method, request.parts:
             case "POST", ("v1", "log", stream):
                 return await self._append(request, stream)
@@ -52,7 +53,7 @@
                 self.list_vms(_VMS.validate_json(body))
                 return runtime.HttpResponse.json(200, {})
             case "PUT", ("control",):
-                self._control(json.loads(await request.body()))
+                self._set_faults(json.loads(await request.body()))
                 return runtime.HttpResponse.json(200, {})
         return runtime.HttpResponse.json(404, {"error": "no such page"})
 
@@ -71,7 +72,7 @@
     ) -> runtime.HttpResponse:
         position = int(request.query("from", "0"))
         limit = int(request.query("limit", "100"))
-        wait_s = int(request.query("wait_ms", "0")) / _MS
+        wait_s = int(request.query("wait_ms", "0")) / _MS_PER_S
         wait_s = min(wait_s, _MAX_WAIT_S)
         try:
             page = await self.log(stream).read(position, limit, wait_s)
@@ -85,17 +86,19 @@
         vms = [] if self._vms_empty else self._vms
         return runtime.HttpResponse(200, _VMS.dump_json(vms))
 
-    def _control(self, told: dict[str, typing.Any]) -> None:
+    def _set_faults(self, settings: dict[str, typing.Any]) -> None:
         log = self.log()
-        now = log.behaviour
+        current = log.behaviour
         log.behaviour = _log.LogBehaviour(
-            down=told.get("log_down", now.down),
-            delay_s=told.get("log_delay_s", now.delay_s),
-            lose_answers=told.get("log_lose_answers", now.lose_answers),
+            down=settings.get("log_down", current.down),
+            delay_s=settings.get("log_delay_s", current.delay_s),
+            lose_answers=settings.get(
+                "log_lose_answers", current.lose_answers
+            ),
         )
-        if "log_forget" in told:
-            log.forget(told["log_forget"])
-        if told.get("log_replace"):
+        if "log_forget" in settings:
+            log.truncate(settings["log_forget"])
+        if settings.get("log_replace"):
             log.replace()
-        self._vms_down = told.get("vms_down", self._vms_down)
-        self._vms_empty = told.get("vms_empty", self._vms_empty)
+        self._vms_down = settings.get("vms_down", self._vms_down)
+        self._vms_empty = settings.get("vms_empty", self._vms_empty)
