--- a/src/ferryledge/standin/_leased_endpoint.py
+++ b/src/ferryledge/standin/_leased_endpoint.py
@@ -156,16 +156,16 @@
         if not self.runs:
             self._advanced_to = max(self._advanced_to, now)
         while self.up and self._advanced_to < now:
-            step = min(now, self._advanced_to + 0.005)
-            elapsed_s = step - self._advanced_to
-            self._advanced_to = step
-            if self.runs and self.clock_ms(step) > self._lease_until_ms:
+            step_end = min(now, self._advanced_to + 0.005)
+            elapsed_s = step_end - self._advanced_to
+            self._advanced_to = step_end
+            if self.runs and self.clock_ms(step_end) > self._lease_until_ms:
                 for key in list(self.runs):
                     self._end(key, wire.HowEnded.LAPSED)
                 continue
             for run in list(self.runs.values()):
                 run.left_s -= elapsed_s * self.speed
-                if run.stops_at is not None and run.stops_at <= step:
+                if run.stops_at is not None and run.stops_at <= step_end:
                     self._end(run.key, wire.HowEnded.STOPPED)
                 elif run.left_s <= 0:
                     _, ok = self._work_of(run.key, self.name)
@@ -257,6 +257,7 @@
             end for end in self.ended if end.number > self._acknowledged
         ]
         running = tuple(
+            # Progress is rounded down to a percent.
             leases.ListedRun(
                 run.key, int(100 * (1 - run.left_s / run.work_s)) / 100
             )
