--- a/src/ferryledge/demo/__init__.py
+++ b/src/ferryledge/demo/__init__.py
@@ -1,4 +1,4 @@
-"""Everything in one process over loopback sockets, as a demonstration."""
+"""A demonstration: a whole cluster in one process, over loopback sockets."""
 
 from ferryledge.demo import _cluster
 from ferryledge.demo import _report
--- a/src/ferryledge/demo/__main__.py
+++ b/src/ferryledge/demo/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m ferryledge.demo``: a guided run that ends by itself."""
+"""``python -m ferryledge.demo``: runs a load and prints a summary.
+
+Part way through the run an agent is drained and a policy is published.
+"""
 
 import dataclasses
 import json
@@ -16,32 +19,34 @@
 _JOBS = 400
 _ARRIVALS_PER_S = 25.0
 _SEED = 7
-#: Network time of a request on loopback, in seconds.
+#: Network time in the ideal response time of a job, in seconds.
 _NETWORK_S = 0.002
 
 
 @dataclasses.dataclass(frozen=True)
-class Kind:
-    """A kind of job that the users submit."""
+class JobKind:
+    """A kind of job, with the ranges from which its tasks are drawn."""
 
     workspace: str
     service: str
+    #: Least and greatest number of tasks.
     tasks: tuple[int, int]
+    #: Shortest and longest duration of a task.
     sleep_ms: tuple[float, float]
     repeatable: bool = True
 
 
-_KINDS = (
-    Kind("spokewell", "stock-check", (1, 4), (50, 120)),
-    Kind("spokewell", "quote", (3, 10), (80, 300)),
-    Kind("spokewell", "hold", (1, 1), (60, 150), repeatable=False),
-    Kind("gletscherpass", "seat-map", (1, 6), (50, 150)),
-    Kind("gletscherpass", "bag-tag", (1, 3), (60, 200), repeatable=False),
+_JOB_KINDS = (
+    JobKind("spokewell", "stock-check", (1, 4), (50, 120)),
+    JobKind("spokewell", "quote", (3, 10), (80, 300)),
+    JobKind("spokewell", "hold", (1, 1), (60, 150), repeatable=False),
+    JobKind("gletscherpass", "seat-map", (1, 6), (50, 150)),
+    JobKind("gletscherpass", "bag-tag", (1, 3), (60, 200), repeatable=False),
 )
 _ENTITIES: tuple[configlog.Entity, ...] = (
     *(
         configlog.Service(kind.service, 10.0, kind.repeatable)
-        for kind in _KINDS
+        for kind in _JOB_KINDS
     ),
     configlog.Workspace("spokewell"),
     configlog.Workspace("gletscherpass"),
@@ -52,12 +57,12 @@
 )
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     print(text, flush=True)
 
 
 def _make_job(rng: random.Random, number: int) -> client.Job:
-    kind = rng.choice(_KINDS)
+    kind = rng.choice(_JOB_KINDS)
     tasks = tuple(
         client.Task(
             {
@@ -81,12 +86,14 @@
 ) -> None:
     started = anyio.current_time()
     reply = await caller.submit(job)
-    response = anyio.current_time() - started
-    longest = max(task.payload["sleep_ms"] for task in job.tasks) / 1000.0
-    samples.append(_report.Sample(job, reply, response, longest + _NETWORK_S))
+    response_s = anyio.current_time() - started
+    longest_s = max(task.payload["sleep_ms"] for task in job.tasks) / 1000.0
+    samples.append(
+        _report.Sample(job, reply, response_s, longest_s + _NETWORK_S)
+    )
 
 
-async def _drive(cluster: demo.LocalCluster) -> demo.Summary:
+async def _run_load(cluster: demo.LocalCluster) -> demo.Summary:
     rng = random.Random(_SEED)
     samples: list[_report.Sample] = []
     before = cluster.messages
@@ -98,40 +105,51 @@
             await anyio.sleep(rng.expovariate(_ARRIVALS_PER_S))
             job = _make_job(rng, number)
             group.start_soon(_submit, caller, job, samples)
-            await _happen(cluster, number, len(samples))
+            await _apply_events(cluster, number, len(samples))
     messages = cluster.messages - before
     return demo.summarise(samples, cluster.journal, messages)
 
 
-async def _happen(
+async def _apply_events(
     cluster: demo.LocalCluster, number: int, answered: int
 ) -> None:
-    """Change something at fixed points of the run."""
+    """Report progress, drain an agent and publish a policy.
+
+    Each happens after a fixed number of submitted jobs.
+    """
     if number % 50 == 49:
-        _say(f"  {number + 1} jobs submitted, {answered} answered")
+        _print_line(f"  {number + 1} jobs submitted, {answered} answered")
     if number == _JOBS // 3:
-        _say("draining agent-1: it finishes what runs and takes no more")
+        _print_line(
+            "draining agent-1: it finishes its tasks and accepts no more"
+        )
         cluster.drain("agent-1")
     if number == _JOBS // 2:
-        _say("publishing a policy: small stock checks go first")
+        _print_line("publishing a policy: small stock checks go first")
         await cluster.publish(_POLICY, "stock checks can't wait")
 
 
 async def _main() -> demo.Summary:
-    _say("starting the stand-ins, 2 entries and 3 agents")
+    _print_line("starting the stand-ins, 2 entries and 3 agents")
     cluster = demo.LocalCluster(demo.ClusterOptions(), _ENTITIES)
     async with anyio.create_task_group() as group:
         await cluster.start(group)
-        _say(f"serving at {', '.join(cluster.urls)}")
-        summary = await _drive(cluster)
-        versions = {one.decisions.rulebook.version for one in cluster.entries}
-        _say(f"configuration versions in force at the end: {versions}")
+        _print_line(f"serving at {', '.join(cluster.urls)}")
+        summary = await _run_load(cluster)
+        versions = {
+            entry.decisions.rulebook.version for entry in cluster.entries
+        }
+        _print_line(f"configuration versions in force at the end: {versions}")
         group.cancel_scope.cancel()
     return summary
 
 
 def main() -> int:
-    """Run the demonstration; 0 if every promise held."""
+    """Run the demonstration.
+
+    :returns: the exit code; 0 if no task started twice and no answer was
+        partial
+    """
     runtime.configure_logging("error", "demo")
     summary = anyio.run(_main)
     print(json.dumps(dataclasses.asdict(summary)), flush=True)
--- a/src/ferryledge/demo/_cluster.py
+++ b/src/ferryledge/demo/_cluster.py
@@ -1,4 +1,4 @@
-"""Stand-ins, entries and agents embedded in one process."""
+"""A cluster of stand-ins, entries and agents in one process."""
 
 import dataclasses
 
@@ -18,18 +18,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClusterOptions:
-    """How large the cluster is."""
+    """Size of a cluster.
+
+    Processes are assigned to the zones in rotation.
+    """
 
     entries: int = 2
     agents: int = 3
+    #: Slots of each agent.
     slots: int = 8
     zones: tuple[str, ...] = ("north", "south", "west")
 
 
 class LocalCluster:
-    """Runs the parts as tasks of a task group.
+    """Runs the processes of a cluster as tasks of a task group.
 
-    :param options: how large it is
+    :param options: size of the cluster
     :param configuration: the entities to publish at start
     """
 
@@ -40,7 +44,7 @@
     ) -> None:
         self._options = options
         self._configuration = configuration
-        self._drains: dict[str, anyio.Event] = {}
+        self._drain_events: dict[str, anyio.Event] = {}
         self._vms: list[runtime.VmRecord] = []
         self.platform = standin.StandinPlatform()
         self.platform_url = ""
@@ -52,18 +56,23 @@
 
     @property
     def urls(self) -> tuple[str, ...]:
-        """The entries' addresses for clients."""
-        return tuple(f"http://{_HOST}:{one.http_port}" for one in self.entries)
+        """URLs of the entries, for clients."""
+        return tuple(
+            f"http://{_HOST}:{process.http_port}" for process in self.entries
+        )
 
     @property
     def messages(self) -> int:
-        """Messages sent between the processes so far."""
-        meshes = [one.mesh for one in self.entries]
-        meshes += [one.mesh for one in self.agents]
+        """Number of messages sent between the processes so far."""
+        meshes = [process.mesh for process in self.entries]
+        meshes += [process.mesh for process in self.agents]
         return sum(mesh.messages_sent for mesh in meshes)
 
     async def start(self, group: anyio_abc.TaskGroup) -> None:
-        """Start all parts and wait until jobs can be served."""
+        """Start all processes and wait until the cluster serves jobs.
+
+        :param group: the task group in which the processes run
+        """
         self.platform_url = await self._serve(group, self.platform.handle)
         await self.publish(self._configuration, "start")
         for number in range(self._options.agents):
@@ -71,12 +80,17 @@
         for number in range(self._options.entries):
             await self._start_entry(group, number)
         self.platform.list_vms(self._vms)
-        await self._until_ready()
+        await self._wait_until_ready()
 
     async def publish(
         self, entities: tuple[configlog.Entity, ...], reason: str
     ) -> configlog.Change:
-        """Publish entities as a change on top of the newest version."""
+        """Publish entities as a change to the newest configuration.
+
+        :param entities: the entities to add or replace
+        :param reason: the reason recorded in the change
+        :returns: the published change
+        """
         client = runtime.PlatformClient(self.platform_url)
         follower = configlog.Follower()
         follower.accept(await client.read(0, 0.0), anyio.current_time())
@@ -94,8 +108,11 @@
         return change
 
     def drain(self, name: str) -> None:
-        """Ask a process to stop as planned."""
-        self._drains[name].set()
+        """Start the graceful shutdown of a process.
+
+        :param name: the process, such as ``agent-1``
+        """
+        self._drain_events[name].set()
 
     async def _serve(
         self, group: anyio_abc.TaskGroup, handler: runtime.Handler
@@ -115,7 +132,7 @@
         name = f"agent-{number + 1}"
         endpoint = standin.StandinEndpoint(name, self.journal)
         url = await self._serve(group, endpoint.handle)
-        zone = self._zone(number)
+        zone = self._zone_of(number)
         process = agent.Agent(
             agent.AgentSettings(
                 name=name,
@@ -129,13 +146,13 @@
         self.endpoints.append(endpoint)
         self.endpoint_urls.append(url)
         self.agents.append(process)
-        self._list(name, runtime.VmRole.AGENT, process.peer_port, zone)
+        self._add_vm(name, runtime.VmRole.AGENT, process.peer_port, zone)
 
     async def _start_entry(
         self, group: anyio_abc.TaskGroup, number: int
     ) -> None:
         name = f"entry-{number + 1}"
-        zone = self._zone(number)
+        zone = self._zone_of(number)
         process = entry.Entry(
             entry.EntrySettings(
                 name=name,
@@ -147,7 +164,7 @@
         )
         await self._start(group, name, process)
         self.entries.append(process)
-        self._list(name, runtime.VmRole.ENTRY, process.peer_port, zone)
+        self._add_vm(name, runtime.VmRole.ENTRY, process.peer_port, zone)
 
     async def _start(
         self,
@@ -155,14 +172,14 @@
         name: str,
         process: agent.Agent | entry.Entry,
     ) -> None:
-        drain = self._drains[name] = anyio.Event()
+        drain = self._drain_events[name] = anyio.Event()
 
         async def run(*, task_status: anyio_abc.TaskStatus[None]) -> None:
             await process.run(drain, task_status=task_status)
 
         await group.start(run)
 
-    def _list(
+    def _add_vm(
         self, name: str, role: runtime.VmRole, port: int, zone: str
     ) -> None:
         self._vms.append(
@@ -171,13 +188,13 @@
             )
         )
 
-    def _zone(self, number: int) -> str:
+    def _zone_of(self, number: int) -> str:
         return self._options.zones[number % len(self._options.zones)]
 
-    async def _until_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         peers = self._options.entries - 1 + self._options.agents
-        for one in self.entries:
-            while not one.decisions.ready:
+        for process in self.entries:
+            while not process.decisions.ready:
                 await anyio.sleep(_POLL_S)
-            while len(list(one.decisions.peers)) < peers:
+            while len(list(process.decisions.peers)) < peers:
                 await anyio.sleep(_POLL_S)
--- a/src/ferryledge/demo/_report.py
+++ b/src/ferryledge/demo/_report.py
@@ -1,4 +1,4 @@
-"""Counts a run from the endpoints' journal and the clients' replies."""
+"""Summary of a run, from the endpoints' journal and the clients' replies."""
 
 import collections
 import dataclasses
@@ -10,19 +10,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """One job as its client saw it."""
+    """A job with its reply and its response time."""
 
     job: client.Job
     reply: client.Reply
-    #: Seconds until the reply came.
+    #: Seconds from the submission to the reply.
     response_s: float
-    #: Seconds that the job's longest task takes on a free endpoint.
+    #: Response time on an idle cluster, in seconds: the duration of the
+    #: longest task plus the network time.
     ideal_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """What a run came to."""
+    """Counts of jobs, tasks and faults of a run, and its slowdowns."""
 
     jobs: int
     tasks: int
@@ -46,31 +47,35 @@
 def _double_starts(
     samples: list[Sample], journal: standin.StartJournal
 ) -> int:
-    """Count starts of a task beyond the first, by the journal alone.
+    """Count starts of a task beyond the first.
 
-    Payloads are all different. A repeatable job that its client sent again
-    is another submission and may start again.
+    Tasks are told apart by their echo values. Repeatable jobs that the
+    client resubmitted don't count, as their tasks may start more than once.
     """
-    again = {
+    resubmitted = {
         task.payload["echo"]
         for sample in samples
         if sample.job.repeatable and sample.reply.attempts > 1
         for task in sample.job.tasks
     }
     starts = collections.Counter(
-        json.loads(one.payload)["echo"] for one in journal.entries
+        json.loads(start.payload)["echo"] for start in journal.entries
     )
     return sum(
-        count - 1 for echo, count in starts.items() if echo not in again
+        count - 1 for echo, count in starts.items() if echo not in resubmitted
     )
 
 
-def _partial(sample: Sample) -> bool:
-    """Return whether an answer is neither whole nor marked failed."""
+def _is_partial(sample: Sample) -> bool:
+    """Return whether the results contradict the reply's outcome.
+
+    A complete reply has the results of all tasks in order, and any other
+    reply has none.
+    """
     if not sample.reply.complete:
         return bool(sample.reply.results)
-    wanted = [task.payload["echo"] for task in sample.job.tasks]
-    return [one["echo"] for one in sample.reply.results] != wanted
+    expected = [task.payload["echo"] for task in sample.job.tasks]
+    return [result["echo"] for result in sample.reply.results] != expected
 
 
 def summarise(
@@ -78,13 +83,15 @@
 ) -> Summary:
     """Return the summary of a run.
 
-    :param samples: the jobs as their clients saw them
-    :param journal: the endpoints' starts
+    :param samples: the jobs with their replies
+    :param journal: the tasks that the endpoints started
     :param messages: messages sent between the processes
     """
-    outcomes = collections.Counter(one.reply.outcome for one in samples)
+    outcomes = collections.Counter(sample.reply.outcome for sample in samples)
     slowdowns = [
-        one.response_s / one.ideal_s for one in samples if one.reply.complete
+        sample.response_s / sample.ideal_s
+        for sample in samples
+        if sample.reply.complete
     ]
     complete = outcomes["complete"]
     refused = outcomes["refused"]
@@ -96,7 +103,7 @@
         failed=len(samples) - complete - refused,
         refused=refused,
         double_starts=_double_starts(samples, journal),
-        partial_answers=sum(_partial(one) for one in samples),
+        partial_answers=sum(_is_partial(sample) for sample in samples),
         messages_per_task=round(messages / max(1, started), 3),
         slowdown_p50=round(_percentile(slowdowns, 0.5), 3),
         slowdown_p99=round(_percentile(slowdowns, 0.99), 3),
