--- a/src/ferryledge/demo/__main__.py
+++ b/src/ferryledge/demo/__main__.py
@@ -137,7 +137,7 @@
         _print_line(f"serving at {', '.join(cluster.urls)}")
         summary = await _run_load(cluster)
         versions = {
-            entry.decisions.rulebook.version for entry in cluster.entries
+            entry.entry_core.rulebook.version for entry in cluster.entries
         }
         _print_line(f"configuration versions in force at the end: {versions}")
         group.cancel_scope.cancel()
--- a/src/ferryledge/demo/_cluster.py
+++ b/src/ferryledge/demo/_cluster.py
@@ -93,7 +93,7 @@
         """
         client = runtime.PlatformClient(self.platform_url)
         follower = configlog.Follower()
-        follower.accept(await client.read(0, 0.0), anyio.current_time())
+        follower.apply_page(await client.read(0, 0.0), anyio.current_time())
         change = configlog.change_between(
             follower.snapshot,
             entities,
@@ -194,7 +194,7 @@
     async def _wait_until_ready(self) -> None:
         peers = self._options.entries - 1 + self._options.agents
         for process in self.entries:
-            while not process.decisions.ready:
+            while not process.entry_core.ready:
                 await anyio.sleep(_POLL_S)
-            while len(list(process.decisions.peers)) < peers:
+            while len(list(process.entry_core.peers)) < peers:
                 await anyio.sleep(_POLL_S)
--- a/src/ferryledge/loads/_world.py
+++ b/src/ferryledge/loads/_world.py
@@ -701,7 +701,7 @@
             self.drains.setdefault(endpoint.incarnation, self.now)
         if heard:
             self.rooms[agent] = endpoint.capacity
-        self.post(agent, self.report_of(agent, endpoint.next_beat()))
+        self.post(agent, self.report_of(agent, endpoint.next_heartbeat()))
 
     def report_of(self, agent: str, number: int) -> leases.EndpointHeartbeat:
         """Return what the endpoint beside an agent says of itself."""
--- a/src/ferryledge/platform/standin/_endpoint.py
+++ b/src/ferryledge/platform/standin/_endpoint.py
@@ -125,7 +125,7 @@
             },
             "Labels": [],
             "ClockMs": model.clock_ms(anyio.current_time()),
-            "Seq": model.next_beat(),
+            "Seq": model.next_heartbeat(),
             "born": model.born_ms,
         }
         draining, born_ms = model.draining, model.born_ms
--- a/src/ferryledge/standin/_leased_endpoint.py
+++ b/src/ferryledge/standin/_leased_endpoint.py
@@ -133,7 +133,7 @@
         self.up = True
         self.draining = False
 
-    def next_beat(self) -> int:
+    def next_heartbeat(self) -> int:
         """Return the number of the next heartbeat."""
         self.heartbeats += 1
         return self.heartbeats
@@ -161,18 +161,20 @@
             self._advanced_to = step_end
             if self.runs and self.clock_ms(step_end) > self._lease_until_ms:
                 for key in list(self.runs):
-                    self._end(key, wire.HowEnded.LAPSED)
+                    self._end(key, wire.RunOutcome.LAPSED)
                 continue
             for run in list(self.runs.values()):
                 run.left_s -= elapsed_s * self.speed
                 if run.stops_at is not None and run.stops_at <= step_end:
-                    self._end(run.key, wire.HowEnded.STOPPED)
+                    self._end(run.key, wire.RunOutcome.STOPPED)
                 elif run.left_s <= 0:
                     _, ok = self._work_of(run.key, self.name)
-                    how = wire.HowEnded.DONE if ok else wire.HowEnded.FAILED
+                    how = (
+                        wire.RunOutcome.DONE if ok else wire.RunOutcome.FAILED
+                    )
                     self._end(run.key, how)
 
-    def _end(self, key: leases.RunKey, how: wire.HowEnded) -> None:
+    def _end(self, key: leases.RunKey, how: wire.RunOutcome) -> None:
         del self.runs[key]
         self._end_count += 1
         self.ended.append(leases.ListedEnd(self._end_count, key, how))
