--- a/src/ferryledge/core/_arbiter.py
+++ b/src/ferryledge/core/_arbiter.py
@@ -1,4 +1,8 @@
-"""The tickets that an agent minted, and its word on them."""
+"""Authorises submissions that use the tickets an agent minted.
+
+A ticket admits one submission of a request. Its outcome is kept, so that a
+repeated request gets the same answer instead of running twice.
+"""
 
 from collections import abc
 
@@ -9,17 +13,17 @@
 from ferryledge import outcomes
 from ferryledge import wire
 
-#: Most tickets minted for one request.
-_MAX_MINTED = 1024
+#: Maximum number of tickets minted for one request.
+_MAX_TICKETS_PER_REQUEST = 1024
 
 Send = abc.Callable[[float, str, wire.Message], object]
 
 
 class Arbiter:
-    """Judges which submission may use a ticket, and keeps its answer.
+    """Decides which submission may use a ticket and keeps its outcome.
 
-    :param identity: this process
-    :param life_s: seconds for which a ticket and its outcome are kept
+    :param identity: identity of this process
+    :param life_s: how long a ticket and its outcome are kept, in seconds
     :param send: sends a message to an owner, by its incarnation
     """
 
@@ -34,55 +38,74 @@
 
     @property
     def in_progress(self) -> int:
-        """Submissions that run under tickets from here."""
+        """Number of submissions that run under tickets minted here."""
         return self._tickets.in_progress
 
     def expire(self, now: float) -> None:
-        """Forget tickets whose life has ended."""
+        """Remove the tickets that have expired.
+
+        :param now: monotonic seconds
+        """
         self._tickets.expire(now)
 
     def on_message(
         self, now: float, owner: str, message: wire.Message
     ) -> None:
-        """Answer a message about tickets; others are passed over."""
+        """Process a message about tickets; ignore any other message.
+
+        :param now: monotonic seconds
+        :param owner: incarnation of the sender
+        :param message: the message
+        """
         match message:
             case wire.TicketRequest(count):
-                minted = self._tickets.mint(min(count, _MAX_MINTED), now)
+                minted = self._tickets.mint(
+                    min(count, _MAX_TICKETS_PER_REQUEST), now
+                )
                 self._send(now, owner, wire.Tickets(minted))
             case wire.Authorise():
-                self._judge(now, owner, message)
+                self._authorise(now, owner, message)
             case wire.Settle():
                 self._on_settle(message)
             case _:
                 return
 
-    def may_use(
+    def authorise_start(
         self, now: float, owner: str, message: wire.StartTasks
     ) -> bool:
-        """Return whether tasks may start; if not, their owner is told why."""
-        asked = wire.Authorise(
+        """Return whether tasks may start under their ticket.
+
+        A negative verdict is sent to the owner.
+
+        :param now: monotonic seconds
+        :param owner: incarnation of the scheduler that sent the tasks
+        :param message: the tasks and their ticket
+        """
+        request = wire.Authorise(
             message.ticket, message.submission, message.label
         )
-        return self._judge(now, owner, asked, tell_granted=False)
+        return self._authorise(now, owner, request, send_if_granted=False)
 
-    def _judge(
+    def _authorise(
         self,
         now: float,
         owner: str,
-        asked: wire.Authorise,
-        tell_granted: bool = True,
+        request: wire.Authorise,
+        send_if_granted: bool = True,
     ) -> bool:
         verdict = self._tickets.authorise(
-            asked.ticket, asked.submission, asked.digest, owner
+            request.ticket, request.submission, request.digest, owner
         )
         granted = verdict.status is ledger.TicketStatus.GRANTED
-        if tell_granted or not granted:
-            answer = _convert.verdict(asked.ticket, asked.submission, verdict)
-            self._send(now, owner, answer)
+        if send_if_granted or not granted:
+            message = _convert.verdict(
+                request.ticket, request.submission, verdict
+            )
+            self._send(now, owner, message)
         return granted
 
     def revoke(self, ticket: str, submission: str) -> None:
-        """Give a ticket back whose submission started nothing."""
+        """Make a ticket usable again when its submission ran no task."""
         self._tickets.revoke(ticket, submission)
 
     def _on_settle(self, message: wire.Settle) -> None:
@@ -93,8 +116,8 @@
             message.ticket, message.submission, message.outcome
         )
 
-    def settle_lost(self, owner: str) -> None:
-        """Settle what a lost scheduler left open: it may have run."""
+    def settle_lost_owner(self, owner: str) -> None:
+        """Settle a lost scheduler's open tickets: the jobs may have run."""
         lost = wire.OutcomeRecord(
             tag="failed_may_have_run",
             reason=outcomes.Reason.ENTRY_LOST,
@@ -104,7 +127,10 @@
         self._tickets.settle_owner(owner, lost)
 
     def settle_batch(self, batch: _batches.Batch) -> None:
-        """Keep the outcome of a job that ran here as a whole."""
+        """Record the outcome of a job that ran entirely on this agent.
+
+        The ticket is revoked instead if no task reached the endpoint.
+        """
         if not batch.ticket:
             return
         if batch.unstarted and not batch.failed and not batch.results:
@@ -118,10 +144,10 @@
                 peer=self._identity.name,
             )
         else:
-            ordered = [batch.results[i] for i in sorted(batch.results)]
+            results = [batch.results[i] for i in sorted(batch.results)]
             outcome = wire.OutcomeRecord(
                 tag="complete",
-                results=tuple(ordered),
-                task_tags=("complete",) * len(ordered),
+                results=tuple(results),
+                task_tags=("complete",) * len(results),
             )
         self._tickets.settle(batch.ticket, batch.submission, outcome)
