--- a/src/ferryledge/core/_answering.py
+++ b/src/ferryledge/core/_answering.py
@@ -1,4 +1,4 @@
-"""Ends a scheduler's jobs and answers the entries that sent them."""
+"""Sends the answers to a scheduler's jobs and removes the jobs."""
 
 from ferryledge.core import _convert
 from ferryledge.core import _jobs
@@ -11,9 +11,9 @@
 
 
 class Answering:
-    """Answers jobs, once each, and forgets them.
+    """Answers each job once and removes it from the pool.
 
-    :param state: the pool
+    :param state: state of the pool
     """
 
     def __init__(self, state: _pool_state.PoolState) -> None:
@@ -21,16 +21,16 @@
         self._answers: list[_jobs.LocalAnswer] = []
 
     def take_answers(self) -> list[_jobs.LocalAnswer]:
-        """Return the answers to this entry's own jobs."""
+        """Return and remove the queued answers to this entry's own jobs."""
         answers = self._answers
         self._answers = []
         return answers
 
     def complete(self, now: float, job: _jobs.Job) -> None:
-        """Answer a job with all its results."""
-        ordered = tuple(job.results[index] for index in sorted(job.results))
+        """Answer a job with the results of all its tasks."""
+        results = tuple(job.results[index] for index in sorted(job.results))
         answer = _requests.JobAnswer(
-            outcomes.Complete(ordered), ("complete",) * job.size
+            outcomes.Complete(results), ("complete",) * job.size
         )
         self.finish(now, job, answer)
 
@@ -43,53 +43,63 @@
         peer: str = "",
         detail: str = "",
     ) -> None:
-        """Answer a job as failed, truthfully as to whether any of it ran."""
+        """Answer a job as failed and cancel its running tasks.
+
+        The outcome is "not run" only if it is certain that no task started.
+
+        :param now: monotonic seconds
+        :param job: the job
+        :param reason: why it failed
+        :param step: the step that failed
+        :param peer: the process where it failed; this one if empty
+        :param detail: more about the failure
+        """
         origin = outcomes.Origin(step, peer or self._state.identity.name)
         tags = job.task_tags()
         outcome: outcomes.JobOutcome
-        # An earlier submission may have run under a ticket not granted.
-        unsure = bool(job.message.ticket) and (
+        # Until the ticket is granted, an earlier submission may have used it.
+        may_have_run = bool(job.message.ticket) and (
             job.ticket_use in (_jobs.TicketUse.NONE, _jobs.TicketUse.ASKED)
         )
-        if unsure or any(tag != "failed_not_run" for tag in tags):
+        if may_have_run or any(tag != "failed_not_run" for tag in tags):
             outcome = outcomes.FailedMayHaveRun(reason, origin, detail)
         else:
             outcome = outcomes.FailedNotRun(
                 reason, origin, self._state.drain_s(), detail
             )
-        self._stop_tasks(now, job)
+        self._cancel_running_tasks(now, job)
         self.finish(now, job, _requests.JobAnswer(outcome, tags))
 
-    def _stop_tasks(self, now: float, job: _jobs.Job) -> None:
-        """End what still runs of a job that is answered."""
-        by_agent: dict[str, list[int]] = {}
+    def _cancel_running_tasks(self, now: float, job: _jobs.Job) -> None:
+        """Cancel the tasks of a job that are still bound to agents."""
+        seqs_by_agent: dict[str, list[int]] = {}
         for seq, name in job.bound.items():
-            by_agent.setdefault(name, []).append(seq)
-        for name, seqs in by_agent.items():
+            seqs_by_agent.setdefault(name, []).append(seq)
+        for name, seqs in seqs_by_agent.items():
             cancel = wire.CancelTasks(job.submission, tuple(seqs))
             self._state.peers.send(now, name, cancel)
 
     def finish(
         self, now: float, job: _jobs.Job, answer: _requests.JobAnswer
     ) -> None:
-        """Settle a job's ticket, forget it and answer."""
-        self._settle(now, job, answer)
+        """Settle a job's ticket, remove the job and send its answer."""
+        self._settle_ticket(now, job, answer)
         self.forget(job)
         self.answer(now, job.front, job.submission, answer)
 
-    def _settle(
+    def _settle_ticket(
         self, now: float, job: _jobs.Job, answer: _requests.JobAnswer
     ) -> None:
         if job.ticket_use is not _jobs.TicketUse.GRANTED:
             return
         ticket = job.message.ticket
         settle = wire.Settle(
-            ticket, job.submission, _convert.record_of(answer)
+            ticket, job.submission, _convert.outcome_record(answer)
         )
         self._state.peers.send(now, ledger.issuer_of(ticket), settle)
 
     def forget(self, job: _jobs.Job) -> None:
-        """Drop a job and give back what it takes."""
+        """Remove a job and release its queue entries and quota."""
         self._state.queue.remove(job.submission)
         self._state.quotas.release(job.message.workspace, len(job.bound))
         self._state.jobs.pop(job.submission, None)
@@ -101,7 +111,13 @@
         submission: str,
         answer: _requests.JobAnswer,
     ) -> None:
-        """Send an answer to its front; an empty front is this entry."""
+        """Send an answer to the entry that submitted the job.
+
+        :param now: monotonic seconds
+        :param front: name of that entry; empty if it is this process
+        :param submission: the job's submission
+        :param answer: the answer
+        """
         self._state.trace.note(
             now,
             submission,
@@ -113,7 +129,7 @@
             return
         message = wire.JobAnswered(
             submission,
-            _convert.record_of(answer),
+            _convert.outcome_record(answer),
             self._state.queue.tasks,
             round(self._state.table.load, 3),
         )
--- a/src/ferryledge/core/_convert.py
+++ b/src/ferryledge/core/_convert.py
@@ -1,4 +1,4 @@
-"""Conversions between records, outcomes and messages."""
+"""Conversions between ledger records, outcomes and wire messages."""
 
 from collections import abc
 
@@ -9,10 +9,14 @@
 
 
 def finished_task(record: ledger.TaskRecord) -> wire.FinishedTask:
-    """Return the message part for a task that ended."""
+    """Return the wire form of a finished task.
+
+    :param record: the ledger's record of the task
+    :raises ValueError: if the task has not finished
+    """
     finish = record.finish
     if finish is None:
-        raise ValueError("the task still runs")
+        raise ValueError("the task has not finished")
     return wire.FinishedTask(
         record.key.seq, record.index, finish.ok, finish.body, finish.run_s
     )
@@ -21,7 +25,7 @@
 def fenced_job(
     submission: str, records: abc.Iterable[ledger.TaskRecord]
 ) -> wire.FencedJob:
-    """Return the report on one submission to the front that fenced it."""
+    """Return the part of a fence report about one submission."""
     finished = []
     running = []
     for record in records:
@@ -35,19 +39,19 @@
 def verdict(
     ticket: str,
     submission: str,
-    found: ledger.TicketVerdict[wire.OutcomeRecord],
+    ticket_verdict: ledger.TicketVerdict[wire.OutcomeRecord],
 ) -> wire.Verdict:
-    """Return the message for a ledger's word on a ticket."""
+    """Return the message that carries a ledger's verdict on a ticket."""
     return wire.Verdict(
         ticket,
         submission,
-        wire.VerdictTag(found.status.value),
-        found.outcome,
+        wire.VerdictTag(ticket_verdict.status.value),
+        ticket_verdict.outcome,
     )
 
 
-def record_of(answer: _requests.JobAnswer) -> wire.OutcomeRecord:
-    """Return an answer in the form in which it travels."""
+def outcome_record(answer: _requests.JobAnswer) -> wire.OutcomeRecord:
+    """Return the wire form of an answer."""
     outcome = answer.outcome
     tag = outcomes.tag_of(outcome)
     match outcome:
@@ -77,14 +81,15 @@
 
 
 def answer_of(record: wire.OutcomeRecord) -> _requests.JobAnswer:
-    """Return the answer that a record carries.
+    """Return the answer that a record holds.
 
+    :param record: the wire form of the answer
     :raises ValueError: if the record's tag, reason or step is unknown
     """
-    return _requests.JobAnswer(_outcome_of(record), record.task_tags)
+    return _requests.JobAnswer(_outcome(record), record.task_tags)
 
 
-def _outcome_of(record: wire.OutcomeRecord) -> outcomes.JobOutcome:
+def _outcome(record: wire.OutcomeRecord) -> outcomes.JobOutcome:
     match record.tag:
         case "complete":
             return outcomes.Complete(record.results)
@@ -105,4 +110,4 @@
             )
         case "failed_may_have_run":
             return outcomes.FailedMayHaveRun(reason, origin, record.detail)
-    raise ValueError(f"unknown outcome {record.tag!r}")
+    raise ValueError(f"unknown outcome tag {record.tag!r}")
--- a/src/ferryledge/core/_ticket_stock.py
+++ b/src/ferryledge/core/_ticket_stock.py
@@ -1,4 +1,4 @@
-"""Keeps tickets of several agents ready for clients."""
+"""Keeps a stock of tickets from several agents for clients."""
 
 import random
 
@@ -8,20 +8,21 @@
 from ferryledge.core import _scheduler
 from ferryledge import wire
 
-#: Seconds in which agents should have sent the tickets asked for.
-_TICKETS_WAIT_S = 1.0
-#: Most tickets kept in stock.
+#: Seconds before unanswered requests are repeated. A stock that needs a refill
+#: sooner than this is enlarged.
+_REQUEST_TIMEOUT_S = 1.0
+#: Maximum number of tickets in stock.
 _MAX_STOCK = 1024
 
 
 class TicketStock:
-    """Asks agents for tickets before they run out.
+    """Requests tickets from agents when the stock is half used up.
 
-    :param options: how many to keep
-    :param peers: where messages go out
-    :param front: holds the tickets
-    :param scheduler: knows which agents are usable
-    :param rng: source of all randomness
+    :param options: options with the initial size of the stock
+    :param peers: sends the requests
+    :param front: stores the tickets
+    :param scheduler: has the table of usable agents
+    :param rng: chooses the agents
     """
 
     def __init__(
@@ -36,32 +37,35 @@
         self._front = front
         self._scheduler = scheduler
         self._rng = rng
-        self._asked_at = float("-inf")
-        self._due = False
-        self._wanted = options.ticket_stock
+        self._requested_at = float("-inf")
+        self._request_pending = False
+        self._target_size = options.ticket_stock
 
     def add(self, tickets: tuple[str, ...]) -> None:
-        """Take in the tickets that an agent sent."""
-        self._due = False
+        """Add the tickets that an agent sent."""
+        self._request_pending = False
         self._front.add_tickets(tickets)
 
     def refill(self, now: float) -> None:
-        """Keep tickets of several agents ready."""
+        """Request more tickets if fewer than half of the target are left.
+
+        :param now: monotonic seconds
+        """
         stock = self._front.tickets
-        if self._due:
-            if now - self._asked_at < _TICKETS_WAIT_S:
+        if self._request_pending:
+            if now - self._requested_at < _REQUEST_TIMEOUT_S:
                 return
-        elif stock >= self._wanted // 2:
+        elif stock >= self._target_size // 2:
             return
-        elif now - self._asked_at < _TICKETS_WAIT_S:
-            # The stock went too quickly: keep a larger one.
-            self._wanted = min(_MAX_STOCK, 2 * self._wanted)
+        elif now - self._requested_at < _REQUEST_TIMEOUT_S:
+            # Demand is high: enlarge the stock.
+            self._target_size = min(_MAX_STOCK, 2 * self._target_size)
         agents = [row.name for row in self._scheduler.table if row.usable]
         if not agents:
             return
-        self._asked_at = now
-        self._due = True
+        self._requested_at = now
+        self._request_pending = True
         chosen = self._rng.sample(agents, min(4, len(agents)))
-        count = max(1, (self._wanted - stock) // len(chosen))
+        count = max(1, (self._target_size - stock) // len(chosen))
         for name in chosen:
             self._peers.send(now, name, wire.TicketRequest(count))
--- a/src/ferryledge/core/_ticketing.py
+++ b/src/ferryledge/core/_ticketing.py
@@ -1,4 +1,8 @@
-"""Takes a job with a ticket through the agent that minted it."""
+"""Authorisation of jobs with tickets at the agent that minted the ticket.
+
+That agent, the arbiter, admits one submission for each ticket. A job that
+fits its free slots runs there as a whole and needs no separate request.
+"""
 
 import collections
 
@@ -17,12 +21,12 @@
 
 
 class Ticketing:
-    """Starts jobs, those with a ticket only as it allows.
+    """Queues jobs, those with a ticket only once they are authorised.
 
-    :param state: the pool
-    :param admission: words refusals
-    :param placing: sends starts
-    :param answering: ends jobs
+    :param state: state of the pool
+    :param admission: creates the refusals
+    :param placing: sends start messages to agents
+    :param answering: answers jobs and removes them
     """
 
     def __init__(
@@ -38,14 +42,18 @@
         self._answering = answering
 
     def enqueue(self, now: float, job: _jobs.Job) -> None:
-        """Let a job wait for slots, once its ticket allows that."""
+        """Queue a job for placement, after authorisation if it has a ticket.
+
+        :param now: monotonic seconds
+        :param job: the job
+        """
         if not job.message.ticket:
             self._state.queue.add(job.waiting)
             return
         arbiter = self._arbiter(now, job)
         if arbiter is None:
             return
-        if self._fits_arbiter(job, arbiter):
+        if self._can_run_at_arbiter(job, arbiter):
             job.ticket_use = _jobs.TicketUse.AT_ARBITER
             self._placing.send_start(now, job, arbiter, job.size)
             return
@@ -54,7 +62,7 @@
     def _arbiter(
         self, now: float, job: _jobs.Job
     ) -> placement.EndpointRow | None:
-        """Return the agent that minted the job's ticket, or fail the job."""
+        """Return the agent that minted the ticket; fail the job if lost."""
         row = self._state.table.find(ledger.issuer_of(job.message.ticket))
         if row is not None and row.connected:
             return row
@@ -66,27 +74,30 @@
     def authorise(
         self, now: float, job: _jobs.Job, arbiter: placement.EndpointRow
     ) -> None:
-        """Ask the agent that minted a job's ticket whether it may run."""
+        """Request authorisation of a job from its ticket's arbiter."""
         job.ticket_use = _jobs.TicketUse.ASKED
         message = wire.Authorise(
             job.message.ticket, job.submission, job.message.label
         )
         self._state.peers.send(now, arbiter.name, message)
 
-    def _fits_arbiter(
+    def _can_run_at_arbiter(
         self, job: _jobs.Job, arbiter: placement.EndpointRow
     ) -> bool:
+        """Return whether the arbiter can run the whole job now."""
         if not self._state.options.run_at_arbiter:
             return False
         if not self._state.may_use(job, arbiter):
             return False
-        slow = self._state.run_times.slowness(arbiter.name)
-        normal = slow < placement.NORMAL_SLOWNESS * self._state.normal_slowness
-        room = arbiter.task_capacity(job.service.memory_mb)
-        return normal and room >= job.size
+        slowness = self._state.run_times.slowness(arbiter.name)
+        is_normal = (
+            slowness < placement.NORMAL_SLOWNESS * self._state.normal_slowness
+        )
+        free_slots = arbiter.task_capacity(job.service.memory_mb)
+        return is_normal and free_slots >= job.size
 
     def on_verdict(self, now: float, message: wire.Verdict) -> None:
-        """Go on with a job whose ticket was judged."""
+        """Queue or answer a job by the arbiter's verdict on its ticket."""
         job = self._state.jobs.get(message.submission)
         if job is None:
             return
@@ -118,7 +129,14 @@
                 )
 
     def check_arbiter(self, now: float, job: _jobs.Job) -> None:
-        """Go on with a job that its ticket's arbiter did not run whole."""
+        """Continue a job whose arbiter did not run all of its tasks.
+
+        Does nothing while tasks still run there. If none ran, requests
+        authorisation to run the job elsewhere; otherwise fails the job.
+
+        :param now: monotonic seconds
+        :param job: the job
+        """
         if job.ticket_use is not _jobs.TicketUse.AT_ARBITER or job.bound:
             return
         if job.results:
@@ -126,7 +144,7 @@
                 now, job, outcomes.Reason.AGENT_LOST, outcomes.Step.START
             )
             return
-        # Nothing ran, and the arbiter gave the ticket back.
+        # No task ran and the arbiter revoked the authorisation.
         job.waiting.tasks = collections.deque(sorted(job.waiting.tasks))
         arbiter = self._arbiter(now, job)
         if arbiter is not None:
