--- a/src/ferryledge/core/__init__.py
+++ b/src/ferryledge/core/__init__.py
@@ -1,8 +1,9 @@
-"""The decisions of entries and agents, free of sockets and clocks.
+"""Decision logic of entries and agents, without I/O and clocks.
 
-A core is driven by three calls: ``receive(now, event)`` for each event,
-``tick(now)`` once the ready events are in, which returns the actions to
-carry out, and ``wake_at()`` for when to tick at the latest. See docs/core.
+Three calls drive a core: ``receive(now, event)`` processes one event,
+``tick(now)``, called after the pending events, returns the actions to carry
+out, and ``wake_at()`` returns the latest time for the next tick. See
+docs/core.
 """
 
 from ferryledge.core import _actions
--- a/src/ferryledge/core/_actions.py
+++ b/src/ferryledge/core/_actions.py
@@ -1,4 +1,4 @@
-"""What a core asks its shell to do."""
+"""Actions that a core returns for its process to carry out."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a peer; drop it if the stream is gone."""
+    """Send a message to a peer; drop it if the stream is closed."""
 
     peer: str
     message: wire.Message
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerClient:
-    """Answer the waiting request; done once for each token."""
+    """Answer a waiting client request, once for each token."""
 
     token: int
     answer: _requests.JobAnswer
@@ -24,7 +24,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunTask:
-    """Start a task on the endpoint and report its end once."""
+    """Start a task on the endpoint and report its end once.
+
+    The end is reported as a :class:`TaskEnded` event.
+    """
 
     owner: str
     seq: int
@@ -38,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTask:
-    """End a running task's call."""
+    """Abort the endpoint call of a running task."""
 
     owner: str
     seq: int
@@ -46,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdoptConfig:
-    """A peer told its configuration; take it if it is newer."""
+    """Adopt a peer's configuration if it is newer."""
 
     peer: str
     #: The peer's snapshot as JSON text.
--- a/src/ferryledge/core/_events.py
+++ b/src/ferryledge/core/_events.py
@@ -1,4 +1,4 @@
-"""What happens to a core."""
+"""Events that a core processes."""
 
 import dataclasses
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientSubmitted:
-    """A client's job arrived; ``token`` names the waiting request."""
+    """A client submitted a job; ``token`` identifies its open request."""
 
     token: int
     request: _requests.JobRequest
@@ -22,47 +22,48 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientCancelled:
-    """A client cancelled its job, or hung up."""
+    """A client cancelled its job or closed its connection."""
 
     workspace: str
     request_id: str
-    #: Pass the cancellation to the other entries if it is not here.
+    #: Whether to forward the cancellation to the other entries if the job
+    #: is not known here.
     forward: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigChanged:
-    """A newer configuration is in force."""
+    """A newer configuration took effect."""
 
     snapshot: configlog.Snapshot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmsListed:
-    """The platform's list of VMs was read; it may lag."""
+    """The platform's list of VMs was read; it may be out of date."""
 
-    #: Names of agents that live, in this entry's region.
+    #: Names of the running agents in this entry's region.
     agents: frozenset[str]
-    #: Names of all VMs that are on their way out.
+    #: Names of all VMs that are being shut down.
     leaving: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskEnded:
-    """A task that :class:`RunTask` started has ended."""
+    """A task started by a :class:`RunTask` action has ended."""
 
     owner: str
     seq: int
     ok: bool
     body: bytes
     run_s: float
-    #: False only with proof that the endpoint never got the task.
+    #: False only if it is certain that the endpoint did not get the task.
     started: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """This process is to stop: take no new work, finish the rest."""
+    """The process is to stop: refuse new work and finish open work."""
 
 
 Event = (
--- a/src/ferryledge/core/_options.py
+++ b/src/ferryledge/core/_options.py
@@ -1,15 +1,15 @@
-"""Identity and options of a core."""
+"""Identity and options of entry and agent cores."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a process is."""
+    """Name, incarnation and location of a process."""
 
     #: Unique in the platform's list of VMs.
     name: str
-    #: Differs each time the process starts.
+    #: A new value for each start of the process.
     incarnation: str
     #: The availability zone.
     zone: str
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AgentOptions:
-    """What an agent may use of its endpoint."""
+    """Limits and timeouts of an agent."""
 
-    #: Tasks that run at once.
+    #: Maximum number of tasks that run at once.
     slots: int = 8
-    #: HTTP connections to the endpoint.
+    #: Maximum number of HTTP connections to the endpoint.
     connections: int = 64
-    #: Memory for tasks in MB; 0 is unlimited.
+    #: Memory for tasks in MB; 0 means unlimited.
     memory_mb: int = 0
     #: Seconds for which a ticket and its outcome are kept.
     ticket_life_s: float = 900.0
@@ -33,47 +33,49 @@
     result_retention_s: float = 30.0
     #: Seconds after which a lost scheduler's tickets are settled.
     owner_grace_s: float = 5.0
-    #: Seconds of silence before a keep-alive on a stream.
+    #: Seconds without a message to a peer before a keep-alive is sent.
     keepalive_s: float = 15.0
-    #: The same while the peer waits for something.
+    #: The same while tasks of the peer run here.
     busy_keepalive_s: float = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryOptions:
-    """How an entry decides."""
+    """Limits and timeouts of an entry and its scheduler."""
 
-    #: Refuse by quota and by expected wait; the brief's "guards".
+    #: Whether to refuse jobs by quota and by expected wait.
     guards: bool = False
-    #: Most tasks that wait for a slot in one pool.
+    #: Maximum number of tasks that wait for a slot in one pool.
     max_waiting_tasks: int = 20_000
-    #: Most tasks in a job.
+    #: Maximum number of tasks in a job.
     max_job_tasks: int = 810
-    #: Endpoints in one pool, at most.
+    #: Maximum number of endpoints in one pool.
     pool_size: int = 96
-    #: Seconds of waiting after which a job may not be passed over.
+    #: Seconds after which a waiting job takes precedence over all others.
     age_bound_s: float = 10.0
-    #: Share of a pool's slots that must be free to batch reports.
+    #: Minimum free share of a pool's slots for reporting results together.
     report_together_free: float = 0.25
     #: Load of the pool up to which an entry places jobs itself instead of
-    #: handing them to the scheduler; 0 always hands them over.
+    #: sending them to the scheduler; 0 means always to the scheduler.
     direct_load: float = 0.4
-    #: Share of an entry's own endpoints' slots kept free when it does so.
+    #: Share of the slots of its own endpoints that the entry keeps free then.
     direct_margin: float = 0.2
-    #: Seconds for which another scheduler's use of an endpoint is assumed
-    #: to last after it was last heard of.
+    #: Seconds for which slots are counted as used by other schedulers after
+    #: the endpoint's agent last reported so.
     foreign_s: float = 0.3
-    #: Seconds for which a broken stream may come back.
+    #: Seconds that a peer has to reconnect after its stream breaks.
     reconnect_grace_s: float = 2.0
-    #: Seconds of silence with work outstanding before a peer is doubted.
+    #: Seconds without a message, with work outstanding, before a peer is
+    #: suspected to have failed.
     silence_s: float = 2.0
-    #: Seconds of silence before a keep-alive on a stream.
+    #: Seconds without a message to a peer before a keep-alive is sent.
     keepalive_s: float = 15.0
-    #: The same while something is outstanding on the stream.
+    #: The same while the stream has work outstanding.
     busy_keepalive_s: float = 0.5
-    #: Longest delay in seconds that a refusal asks for.
+    #: Maximum retry delay in seconds that a refusal asks for.
     max_retry_after_s: float = 30.0
-    #: Tickets kept ready for unrepeatable requests.
+    #: Number of tickets in stock for requests that are not repeatable.
     ticket_stock: int = 32
-    #: Run a job at its ticket's arbiter if it has the slots.
+    #: Whether to run a job at the agent that minted its ticket, if that has
+    #: enough free slots.
     run_at_arbiter: bool = True
