--- a/src/ferryledge/core/_admission.py
+++ b/src/ferryledge/core/_admission.py
@@ -1,4 +1,4 @@
-"""Admits jobs, or refuses them at once with a reason."""
+"""Admission control: admits a job to a pool or refuses it with a reason."""
 
 import collections
 
@@ -14,9 +14,9 @@
 
 
 class Admission:
-    """Decides whether a pool takes a job.
+    """Decides whether a pool accepts a job.
 
-    :param state: the pool
+    :param state: the state of the pool
     """
 
     def __init__(self, state: _pool_state.PoolState) -> None:
@@ -25,10 +25,11 @@
     def admit(
         self, now: float, front: str, message: wire.PlaceJob
     ) -> _jobs.Job | outcomes.Refused:
-        """Return the job, or why it is refused.
+        """Return the admitted job, or a refusal.
 
-        :param now: monotonic seconds
-        :param front: the peer that sent it; empty is this entry
+        :param now: current time in monotonic seconds
+        :param front: name of the entry that sent the job; empty for this
+            entry
         :param message: the job
         """
         service = self._state.rulebook.service(message.service)
@@ -36,7 +37,9 @@
             return self.refuse(
                 outcomes.Reason.UNKNOWN_SERVICE, 0.0, message.service
             )
-        declared = max((t.declared_s for t in message.tasks), default=0.0)
+        declared = max(
+            (task.declared_s for task in message.tasks), default=0.0
+        )
         expected = self._state.run_times.predict(message.service, declared)
         facts = self._facts(message, expected, declared)
         ruling = self._state.rulebook.evaluate(service, facts)
@@ -47,20 +50,20 @@
         zones = self._state.rulebook.zones(
             service, facts, message.places, self._state.table.zones
         )
-        refusal = self._impossible(service, zones)
+        refusal = self._check_endpoints(service, zones)
         if refusal is not None:
             return refusal
-        ideal = expected * _longest_factor(len(message.tasks))
+        ideal_s = expected * _longest_factor(len(message.tasks))
         waiting = placement.WaitingJob(
             message.submission,
             message.workspace,
             expected,
-            ideal,
+            ideal_s,
             ruling.urgency,
             now,
             collections.deque(range(len(message.tasks))),
         )
-        refusal = self._limit(message, waiting)
+        refusal = self._check_limits(message, waiting)
         if refusal is not None:
             return refusal
         job = _jobs.Job(
@@ -77,7 +80,7 @@
             now,
             job.submission,
             _trace.Mechanism.ADMISSION,
-            f"admitted: {expected:.3f} s a task expected, urgency "
+            f"admitted: {expected:.3f} s expected per task, urgency "
             f"{ruling.urgency:g}, {self._state.queue.tasks} tasks waiting, "
             f"load {self._state.table.load:.2f}",
         )
@@ -104,7 +107,7 @@
             home=self._state.identity.zone,
         )
 
-    def _impossible(
+    def _check_endpoints(
         self, service: configlog.Service, zones: frozenset[str] | None
     ) -> outcomes.Refused | None:
         if not any(row.usable for row in self._state.table):
@@ -134,11 +137,11 @@
             "no endpoint in the allowed zones is large enough",
         )
 
-    def _limit(
+    def _check_limits(
         self, message: wire.PlaceJob, waiting: placement.WaitingJob
     ) -> outcomes.Refused | None:
         guarded = self._state.options.guards and message.deadline_s > 0
-        before = (
+        work_before_s = (
             self._state.queue.work_ahead(waiting.key)
             if guarded
             else self._state.queue.work_s
@@ -146,7 +149,7 @@
         load = limits.Load(
             self._state.table.slots,
             self._state.queue.tasks,
-            before,
+            work_before_s,
             waiting.ideal_s,
         )
         verdict = limits.admit(
@@ -168,7 +171,13 @@
         retry_after_s: float,
         detail: str = "",
     ) -> outcomes.Refused:
-        """Return a refusal by this entry."""
+        """Return a refusal by this entry in the admission step.
+
+        :param reason: why the job is refused
+        :param retry_after_s: seconds after which the client may retry; 0 if
+            a retry cannot succeed
+        :param detail: a message for the client
+        """
         origin = outcomes.Origin(
             outcomes.Step.ADMIT, self._state.identity.name
         )
@@ -176,9 +185,11 @@
 
 
 def _longest_factor(tasks: int) -> float:
-    """Return how much longer than one task a job's longest one takes.
+    """Estimate the run time of a job's longest task over the mean.
+
+    The expected maximum of several run times grows about logarithmically
+    with their number; the factor suits run times that vary about twofold.
 
-    For run times that vary about twofold the longest of n is near one
-    plus a quarter of n's binary logarithm.
+    :param tasks: number of tasks in the job
     """
     return 1.0 + 0.25 * (tasks.bit_length() - 1)
--- a/src/ferryledge/core/_entry.py
+++ b/src/ferryledge/core/_entry.py
@@ -1,4 +1,8 @@
-"""An entry's decisions: its front, its scheduler and its peers."""
+"""The decision core of an entry process.
+
+Events are passed to :meth:`EntryCore.receive`; :meth:`EntryCore.tick` returns
+the actions to perform. The core does no input or output of its own.
+"""
 
 import random
 
@@ -19,15 +23,16 @@
 from ferryledge.core import _trace
 from ferryledge import wire
 
+#: Seconds between checks for silent schedulers and for expired deadlines.
 _SWEEP_S = 0.1
 
 
 class EntryCore:
-    """Takes clients' jobs and schedules the pools that fall to it.
+    """Accepts jobs from clients, and schedules its own and its peers' jobs.
 
-    :param identity: this process
-    :param options: how to decide
-    :param rng: source of all randomness
+    :param identity: name, incarnation and zone of this process
+    :param options: settings of the scheduler and the front
+    :param rng: the only source of randomness
     """
 
     def __init__(
@@ -55,7 +60,9 @@
             options, self._peers, self._front, self._scheduler, rng
         )
         self._rulebook = _rulebook.Rulebook(configlog.EMPTY_SNAPSHOT)
-        self._reaches: dict[str, _reach.Reach] = {}
+        #: The agents reported to each scheduler, by its name.
+        self._reach_by_scheduler: dict[str, _reach.Reach] = {}
+        #: Empty group for the parts that this entry schedules itself.
         self._own_group = _reach.Group(set())
         self._reachable_cache: frozenset[str] | None = None
         self._leaving_vms: frozenset[str] = frozenset()
@@ -64,17 +71,17 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no job is held, for clients or for other entries."""
+        """Whether there are no open jobs, from clients or other entries."""
         return not self._front.jobs and not self._scheduler.jobs
 
     @property
     def draining(self) -> bool:
-        """Whether new jobs are refused."""
+        """Whether the entry is shutting down and refuses new jobs."""
         return self._draining
 
     @property
     def ready(self) -> bool:
-        """Whether jobs can be served: configuration and endpoints."""
+        """Whether there is a configuration and a usable endpoint."""
         usable = any(row.usable for row in self._scheduler.table)
         return bool(self._rulebook.version) and usable and not self._draining
 
@@ -90,12 +97,12 @@
 
     @property
     def scheduler(self) -> _scheduler.Scheduler:
-        """The jobs that this entry places."""
+        """The jobs that this entry schedules."""
         return self._scheduler
 
     @property
     def trace(self) -> _trace.Trace:
-        """The decisions on recent jobs."""
+        """The trace of decisions about recent jobs."""
         return self._trace
 
     @property
@@ -104,7 +111,7 @@
         return self._peers
 
     def hello(self) -> wire.Hello:
-        """Return the greeting for a new stream."""
+        """Return the first message to send on a new stream."""
         return wire.Hello(
             wire.Role.ENTRY,
             self._identity.name,
@@ -115,10 +122,12 @@
         )
 
     def receive(self, now: float, event: _events.Event) -> None:
-        """Take in one event.
+        """Process one event; :meth:`tick` returns the resulting actions.
 
-        :param now: monotonic seconds
-        :param event: what happened
+        :param now: current time in monotonic seconds
+        :param event: the event
+        :raises TypeError: if the event is of a type that entries do not
+            process
         """
         match event:
             case _events.Received(peer, message):
@@ -128,9 +137,9 @@
             case _events.ClientCancelled():
                 self._on_cancel(now, event)
             case _events.PeerUp(hello):
-                self._on_up(now, hello)
+                self._on_peer_up(now, hello)
             case _events.PeerDown(name, incarnation):
-                self._on_down(now, name, incarnation)
+                self._on_peer_down(now, name, incarnation)
             case _events.ConfigChanged(snapshot):
                 self._on_config(now, snapshot)
             case _events.VmsListed():
@@ -141,16 +150,19 @@
                 raise TypeError(f"not an event for an entry: {event!r}")
 
     def tick(self, now: float) -> list[_actions.Action]:
-        """Return the actions that the events so far call for."""
+        """Schedule tasks, run the periodic checks and return the actions.
+
+        :param now: current time in monotonic seconds
+        """
         if now >= self._next_sweep:
             self._sweep(now)
         self._scheduler.run_systems(now)
         for moved in self._scheduler.task_ends.take_handed_back():
-            taken = self._front.take_back(moved.submission, moved.indices)
-            if taken is not None:
-                self._hand_over(now, *taken, direct=False)
-        for local in self._scheduler.answering.take_answers():
-            self._front.on_answer(local.submission, "", local.answer)
+            removed = self._front.take_back(moved.submission, moved.indices)
+            if removed is not None:
+                self._assign_tasks(now, *removed, direct=False)
+        for answered in self._scheduler.answering.take_answers():
+            self._front.on_answer(answered.submission, "", answered.answer)
         self._peers.send_keepalives(
             now,
             self._rulebook.version,
@@ -160,7 +172,7 @@
         return self._peers.pop_actions()
 
     def wake_at(self) -> float:
-        """Return when to tick at the latest, in monotonic seconds."""
+        """Return when :meth:`tick` is due next, in monotonic seconds."""
         due = min(self._peers.wake_at(), self._scheduler.wake_at())
         if self._front.jobs:
             due = min(due, self._next_sweep)
@@ -174,24 +186,33 @@
         job = self._front.submit(now, token, request)
         if job is not None:
             indices = tuple(range(len(request.tasks)))
-            self._hand_over(now, job, indices)
+            self._assign_tasks(now, job, indices)
         self._tickets.refill(now)
 
-    def _hand_over(
+    def _assign_tasks(
         self,
         now: float,
         job: _front_jobs.FrontJob,
         indices: tuple[int, ...],
         direct: bool = True,
     ) -> None:
+        """Assign tasks of a job to a scheduler: this entry or a peer.
+
+        :param now: current time in monotonic seconds
+        :param job: the job
+        :param indices: indices of the tasks in the job
+        :param direct: whether this entry may schedule the tasks although
+            routing chose another entry; ignored for a workspace with a
+            quota
+        """
         peer = self._routing.choose_scheduler(job.request)
-        limited = self._rulebook.has_quota(job.request.workspace)
-        direct = direct and not limited
+        has_quota = self._rulebook.has_quota(job.request.workspace)
+        direct = direct and not has_quota
         if direct and peer and self._routing.places_itself(peer, len(indices)):
             peer = None
         group = self._own_group
         if peer is not None:
-            group = self._tell_agents(now, peer)
+            group = self._send_agent_set(now, peer)
         message = self._front.make_part(now, job, peer, indices, group)
         self._trace.note(
             now,
@@ -211,9 +232,11 @@
         self._peers.send(now, peer.name, message)
 
     def _on_cancel(self, now: float, event: _events.ClientCancelled) -> None:
-        local = self._front.local_parts(event.workspace, event.request_id)
+        submissions = self._front.local_parts(
+            event.workspace, event.request_id
+        )
         if self._front.cancel(now, event.workspace, event.request_id):
-            for submission in local:
+            for submission in submissions:
                 self._scheduler.cancel(now, "", submission)
             return
         if not event.forward:
@@ -224,10 +247,10 @@
 
     # Peers.
 
-    def _on_up(self, now: float, hello: wire.Hello) -> None:
-        old = self._peers.find(hello.name)
-        if old is not None:
-            self._on_down(now, hello.name, old.incarnation)
+    def _on_peer_up(self, now: float, hello: wire.Hello) -> None:
+        previous = self._peers.find(hello.name)
+        if previous is not None:
+            self._on_peer_down(now, hello.name, previous.incarnation)
         self._reachable_cache = None
         peer = self._peers.up(hello, now)
         if hello.name in self._leaving_vms:
@@ -238,13 +261,13 @@
             self._front.recovery.agent_up(now, hello.name, process)
             if peer.leaving:
                 self._scheduler.endpoints.agent_leaving(hello.name)
-            self._tell_schedulers(now)
+            self._update_schedulers(now)
             self._tickets.refill(now)
         elif not self._rulebook.version:
             self._peers.send(now, hello.name, wire.ConfigRequest())
         self._routing.share_endpoints()
 
-    def _on_down(self, now: float, name: str, incarnation: str) -> None:
+    def _on_peer_down(self, now: float, name: str, incarnation: str) -> None:
         peer = self._peers.down(name, incarnation)
         if peer is None:
             return
@@ -261,14 +284,14 @@
 
     def _scheduler_lost(self, now: float, peer: _peers.Peer) -> None:
         self._front.recovery.scheduler_lost(now, peer.name, peer.incarnation)
-        self._reaches.pop(peer.name, None)
+        self._reach_by_scheduler.pop(peer.name, None)
 
-    def _tell_agents(self, now: float, peer: _peers.Peer) -> _reach.Group:
-        """Tell a scheduler which agents this front can reach.
+    def _send_agent_set(self, now: float, peer: _peers.Peer) -> _reach.Group:
+        """Send a scheduler the agents that this entry can reach, if changed.
 
-        :return: the group of agents for a part that it gets now
+        :return: the group of agents for parts assigned to it from now on
         """
-        reach = self._reaches.setdefault(peer.name, _reach.Reach())
+        reach = self._reach_by_scheduler.setdefault(peer.name, _reach.Reach())
         agents = self._reachable()
         if reach.tell(agents):
             reach.keep_only(self._front.groups_at(peer.name))
@@ -276,19 +299,22 @@
             self._peers.send(now, peer.name, message)
         return reach.group
 
-    def _tell_schedulers(self, now: float) -> None:
-        """Tell of an agent that is back: our jobs may wait for it alone."""
-        for name in list(self._reaches):
+    def _update_schedulers(self, now: float) -> None:
+        """Send the agents to all schedulers that hold tasks of this entry.
+
+        Their tasks may be waiting for an agent that has just reconnected.
+        """
+        for name in list(self._reach_by_scheduler):
             peer = self._peers.find(name)
             if peer is not None and self._front.outstanding(name):
-                self._tell_agents(now, peer)
+                self._send_agent_set(now, peer)
 
     def _reachable(self) -> frozenset[str]:
-        """Return the process keys of the agents with open streams."""
+        """Return the process keys of the connected agents."""
         if self._reachable_cache is None:
             self._reachable_cache = frozenset(
-                wire.process_key(one.name, one.incarnation)
-                for one in self._peers.of_role(wire.Role.AGENT)
+                wire.process_key(agent.name, agent.incarnation)
+                for agent in self._peers.of_role(wire.Role.AGENT)
             )
         return self._reachable_cache
 
@@ -330,10 +356,10 @@
                 self._scheduler.ticketing.on_verdict(now, message)
             case wire.FenceReport():
                 process = wire.process_key(name, peer.incarnation)
-                for job, left in self._front.recovery.on_report(
+                for job, unstarted in self._front.recovery.on_report(
                     process, message
                 ):
-                    self._hand_over(now, job, left)
+                    self._assign_tasks(now, job, unstarted)
             case _:
                 return
 
@@ -385,7 +411,7 @@
             case _:
                 return
 
-    # Configuration, membership, leaving.
+    # Configuration, membership and draining.
 
     def _on_config(self, now: float, snapshot: configlog.Snapshot) -> None:
         if snapshot.version <= self._rulebook.version:
@@ -420,17 +446,17 @@
             self._peers.send(now, peer.name, wire.Leaving())
 
     def _sweep(self, now: float) -> None:
-        late = now - self._next_sweep
+        delay_s = now - self._next_sweep
         self._next_sweep = now + _SWEEP_S
-        if self._front.jobs and late > _peers.PAUSE_S:
-            # This process was paused; the peers were not silent.
+        if self._front.jobs and delay_s > _peers.PAUSE_THRESHOLD_S:
+            # This process was paused, so the peers may not have been silent.
             self._peers.reset_silence_timers(now)
         self._front.sweep(now)
         for peer in self._peers.of_role(wire.Role.ENTRY):
             self._check_silence(now, peer)
 
     def _check_silence(self, now: float, peer: _peers.Peer) -> None:
-        """Give up a scheduler that is silent with our jobs in hand."""
+        """Recover the tasks of a scheduler that was silent for too long."""
         if not peer.busy or not self._front.outstanding(peer.name):
             return
         if now - peer.last_heard <= self._options.silence_s:
--- a/src/ferryledge/core/_front.py
+++ b/src/ferryledge/core/_front.py
@@ -1,9 +1,9 @@
-"""The front of an entry: holds clients' jobs until their whole answer.
+"""The front of an entry: keeps clients' jobs until they are answered.
 
-A job is handed to its scheduler as one part. If that scheduler is lost,
-the front fences it at every agent that it may have used and learns what
-started there; only tasks that provably never started are handed on, as a
-new part.
+A job is assigned to a scheduler as one part. If that scheduler is lost, the
+front fences it at every agent that it may have used, and the agents report
+which tasks they started. Only tasks that certainly never started are assigned
+again, as a new part.
 """
 
 import collections
@@ -24,20 +24,20 @@
 from ferryledge import outcomes
 from ferryledge import wire
 
-#: Answers kept for look-ups.
+#: Number of recent answers kept for look-ups.
 _ANSWERS_KEPT = 2000
-#: Most tickets in stock.
+#: Maximum number of tickets in stock.
 _MAX_TICKETS = 2048
 
 
 class Front:
-    """Takes clients' jobs and answers each one once.
+    """Accepts jobs from clients and answers each job once.
 
-    :param identity: this process
-    :param options: how to decide
-    :param peers: where messages go out
-    :param rng: source of all randomness
-    :param trace: where decisions are noted
+    :param identity: name, incarnation and zone of this process
+    :param options: settings of the entry
+    :param peers: the connected peers, used to send messages
+    :param rng: the only source of randomness
+    :param trace: records decisions about jobs
     """
 
     def __init__(
@@ -66,25 +66,25 @@
 
     @property
     def jobs(self) -> int:
-        """Jobs whose clients wait."""
+        """Number of jobs that are not answered yet."""
         return len(self._table.jobs)
 
     @property
     def tickets(self) -> int:
-        """Tickets in stock."""
+        """Number of tickets in stock."""
         return len(self._tickets)
 
     @property
     def last_number(self) -> int:
-        """Number of the last submission so far."""
+        """Number of the most recent submission."""
         return self._table.counter
 
     def outstanding(self, scheduler: str) -> int:
-        """Return how many parts a scheduler holds for this front."""
+        """Return the number of this front's parts that a scheduler holds."""
         return len(self._table.parts_at(scheduler))
 
     def configure(self, rulebook: _rulebook.Rulebook) -> None:
-        """Put a newer configuration in force."""
+        """Use a newer configuration from now on."""
         self._rulebook = rulebook
 
     def drain(self) -> None:
@@ -92,19 +92,19 @@
         self._draining = True
 
     def add_tickets(self, tickets: tuple[str, ...]) -> None:
-        """Add tickets to the stock, up to its bound."""
-        room = _MAX_TICKETS - len(self._tickets)
-        self._tickets.extend(tickets[: max(0, room)])
+        """Add tickets to the stock; those above its maximum are dropped."""
+        free = _MAX_TICKETS - len(self._tickets)
+        self._tickets.extend(tickets[: max(0, free)])
 
-    def drop_tickets(self, minter: str) -> None:
-        """Forget the tickets of an agent that is gone."""
-        kept = [t for t in self._tickets if ledger.issuer_of(t) != minter]
+    def drop_tickets(self, issuer: str) -> None:
+        """Remove the tickets issued by an agent that is gone or leaving."""
+        kept = [t for t in self._tickets if ledger.issuer_of(t) != issuer]
         self._tickets = collections.deque(kept)
 
     def find(
         self, workspace: str, request_id: str
     ) -> _front_jobs.FrontJob | _requests.JobAnswer | None:
-        """Return a job that runs, or an answer that is kept, or none."""
+        """Return the open job, else the answer kept for it, else ``None``."""
         key = (workspace, request_id)
         return self._table.jobs.get(key) or self._answered.get(key)
 
@@ -113,10 +113,13 @@
     def submit(
         self, now: float, token: int, request: _requests.JobRequest
     ) -> _front_jobs.FrontJob | None:
-        """Check a job and keep it.
+        """Check a request and add its job.
 
-        :return: the job if it is to be handed to a scheduler; none if it
-            was answered at once or joined one that runs
+        :param now: current time in monotonic seconds
+        :param token: identifies the client's call in the answer
+        :param request: the client's request
+        :return: the job if it must be assigned to a scheduler; ``None`` if
+            the request was answered at once or joined a running job
         """
         refusal = self._check(request)
         if refusal is not None:
@@ -130,9 +133,9 @@
             return None
         key = (request.workspace, request.request_id)
         digest = _front_jobs.digest_of(request)
-        known = self._table.jobs.get(key)
-        if known is not None:
-            self._join(token, known, digest)
+        running = self._table.jobs.get(key)
+        if running is not None:
+            self._join(token, running, digest)
             return None
         job = _front_jobs.FrontJob(request, digest, [token], now)
         self._table.jobs[key] = job
@@ -148,7 +151,7 @@
             return self._refuse(
                 outcomes.Reason.NO_CONFIGURATION,
                 1.0,
-                "no configuration is known yet",
+                "no configuration has been received yet",
             )
         service = rulebook.service(request.service)
         if service is None:
@@ -162,7 +165,9 @@
         for place in request.places:
             if rulebook.place(place) is None:
                 return self._refuse(
-                    outcomes.Reason.IMPOSSIBLE, 0.0, f"no place {place!r}"
+                    outcomes.Reason.IMPOSSIBLE,
+                    0.0,
+                    f"place {place!r} does not exist",
                 )
         repeatable = request.repeatable and service.repeatable
         if repeatable or request.ticket:
@@ -170,7 +175,7 @@
         if self._tickets:
             return outcomes.TicketRequired(self._tickets.popleft())
         return self._refuse(
-            outcomes.Reason.CAPACITY, 0.2, "no ticket is in stock"
+            outcomes.Reason.CAPACITY, 0.2, "no ticket is available"
         )
 
     def _join(
@@ -206,10 +211,13 @@
         indices: tuple[int, ...],
         group: _reach.Group,
     ) -> wire.PlaceJob:
-        """Name a part of a job and return the message for its scheduler.
+        """Add a part to a job and return the message for its scheduler.
 
-        :param scheduler: who gets it; none is this entry itself
-        :param indices: the tasks that belong to it
+        :param now: current time in monotonic seconds
+        :param job: the job
+        :param scheduler: the peer that schedules the part; ``None`` for
+            this entry
+        :param indices: indices in the job of the part's tasks
         :param group: the agents that the scheduler may use
         """
         self._table.counter += 1
@@ -227,9 +235,10 @@
         job.parts[submission] = part
         self._table.by_part[submission] = job
         request = job.request
-        left = request.deadline_s
-        if left:
-            left = max(0.001, job.arrived_at + left - now)
+        remaining_s = request.deadline_s
+        if remaining_s:
+            # In the message, zero means that there is no deadline.
+            remaining_s = max(0.001, job.arrived_at + remaining_s - now)
         return wire.PlaceJob(
             submission,
             request.workspace,
@@ -240,7 +249,7 @@
                 )
                 for i in indices
             ),
-            left,
+            remaining_s,
             request.urgency,
             request.places,
             request.ticket,
@@ -251,20 +260,21 @@
     def take_back(
         self, submission: str, positions: tuple[int, ...]
     ) -> tuple[_front_jobs.FrontJob, tuple[int, ...]] | None:
-        """Take tasks out of a part; they have not started in it.
+        """Remove tasks that have not started from a part.
 
         :param submission: the part's submission
         :param positions: the tasks' positions in the part
-        :return: the job and the tasks' places in it; none if it is gone
+        :return: the job and the tasks' indices in it; ``None`` if the part
+            no longer exists
         """
         job = self._table.by_part.get(submission)
         if job is None:
             return None
         part = job.parts[submission]
-        part.moved.update(positions)
-        if len(part.moved) == len(part.indices):
+        part.removed.update(positions)
+        if len(part.removed) == len(part.indices):
             self._table.drop_part(submission)
-        return job, tuple(part.indices[place] for place in positions)
+        return job, tuple(part.indices[position] for position in positions)
 
     def fail(
         self,
@@ -274,7 +284,14 @@
         peer: str,
         may_have_run: bool,
     ) -> None:
-        """Answer a job as failed."""
+        """Answer a job as failed.
+
+        :param job: the job
+        :param reason: why it failed
+        :param step: the step at which it failed
+        :param peer: the process that caused the failure
+        :param may_have_run: whether some of its tasks may have run
+        """
         origin = outcomes.Origin(step, peer)
         outcome: outcomes.JobOutcome
         if may_have_run:
@@ -289,9 +306,9 @@
         self._answer(job, _requests.JobAnswer(outcome, tags))
 
     def cancel(self, now: float, workspace: str, request_id: str) -> bool:
-        """Cancel a client's job.
+        """Send a cancellation to each other entry that holds a job's parts.
 
-        :return: whether it is here
+        :return: whether this front holds the job
         """
         job = self._table.jobs.get((workspace, request_id))
         if job is None:
@@ -303,7 +320,7 @@
         return True
 
     def local_parts(self, workspace: str, request_id: str) -> list[str]:
-        """Return a job's submissions that this entry schedules itself."""
+        """Return the submissions of a job that this entry schedules."""
         job = self._table.jobs.get((workspace, request_id))
         if job is None:
             return []
@@ -318,10 +335,10 @@
     def on_answer(
         self, submission: str, scheduler: str, answer: _requests.JobAnswer
     ) -> None:
-        """Take in a scheduler's answer to one part.
+        """Process a scheduler's answer to one part.
 
-        An answer to a part that is unknown, or that another scheduler
-        holds, is dropped: it is late or crossed.
+        An answer is ignored if the part no longer exists or was not
+        assigned to that scheduler.
         """
         job = self._table.by_part.get(submission)
         if job is None:
@@ -331,13 +348,13 @@
             return
         match answer.outcome:
             case outcomes.Complete(results):
-                self._merge(job, part, results)
+                self._add_results(job, part, results)
             case _ if len(part.remaining()) == len(job.request.tasks):
                 self._answer(job, answer)
             case _:
-                self._fail_rest(job, part, answer)
+                self._fail_partial_job(job, part, answer)
 
-    def _merge(
+    def _add_results(
         self,
         job: _front_jobs.FrontJob,
         part: _front_jobs.Part,
@@ -348,7 +365,7 @@
         self.complete_if_whole(job)
 
     def complete_if_whole(self, job: _front_jobs.FrontJob) -> None:
-        """Answer a job once all its results are here."""
+        """Answer a job if the results of all its tasks are present."""
         size = len(job.request.tasks)
         if len(job.results) != size:
             return
@@ -360,13 +377,13 @@
             ),
         )
 
-    def _fail_rest(
+    def _fail_partial_job(
         self,
         job: _front_jobs.FrontJob,
         part: _front_jobs.Part,
         answer: _requests.JobAnswer,
     ) -> None:
-        """Fail a job of which other tasks have already run."""
+        """Fail a job if one part failed and other tasks may have run."""
         match answer.outcome:
             case outcomes.Refused(reason, origin) | outcomes.FailedNotRun(
                 reason, origin
@@ -394,12 +411,12 @@
         while len(self._answered) > _ANSWERS_KEPT:
             self._answered.popitem(last=False)
         for token in job.tokens:
-            self._reply(token, self._with_spare(job, answer))
+            self._reply(token, self._add_spare_ticket(job, answer))
 
-    def _with_spare(
+    def _add_spare_ticket(
         self, job: _front_jobs.FrontJob, answer: _requests.JobAnswer
     ) -> _requests.JobAnswer:
-        """Add a ticket for the client's next unrepeatable job."""
+        """Add a ticket for the client's next unrepeatable job, if in stock."""
         if not job.request.ticket or not self._tickets:
             return answer
         return dataclasses.replace(
@@ -413,15 +430,15 @@
 
     @property
     def recovery(self) -> _recovery.Recovery:
-        """Takes jobs back from lost schedulers."""
+        """Recovers the tasks of lost schedulers."""
         return self._recovery
 
     def groups_at(self, scheduler: str) -> list[_reach.Group]:
-        """Return the agent groups that a scheduler's parts refer to."""
+        """Return the agent group of each part that a scheduler holds."""
         return [part.group for part in self._table.parts_at(scheduler)]
 
     def sweep(self, now: float) -> None:
-        """Give up fences and jobs that took too long."""
+        """Expire fences, and fail jobs that are past their deadline."""
         self._recovery.sweep(now)
         for job in list(self._table.jobs.values()):
             if now >= job.deadline_at:
--- a/src/ferryledge/core/_front_jobs.py
+++ b/src/ferryledge/core/_front_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs of an entry's clients, and their parts at schedulers."""
+"""The jobs of an entry's clients, and the parts that schedulers hold."""
 
 import dataclasses
 import hashlib
@@ -6,43 +6,48 @@
 from ferryledge.core import _reach
 from ferryledge.core import _requests
 
-#: Seconds after a job's deadline by which it must be answered.
+#: Seconds past its deadline at which an unanswered job fails.
 _DEADLINE_MARGIN_S = 0.25
 
 
 @dataclasses.dataclass(slots=True)
 class Part:
-    """Tasks of a job that one scheduler holds."""
+    """The tasks of a job that are assigned to one scheduler."""
 
     submission: str
     #: Name and incarnation of the scheduler; empty for this entry.
     scheduler: str
     incarnation: str
-    #: Places in the job of the part's tasks.
+    #: Indices in the job of the part's tasks.
     indices: tuple[int, ...]
     #: The agents that the scheduler may use.
     group: _reach.Group
-    #: Positions in ``indices`` of tasks that were taken back.
-    moved: set[int] = dataclasses.field(default_factory=set)
+    #: Positions in ``indices`` of tasks that were removed from the part.
+    removed: set[int] = dataclasses.field(default_factory=set)
 
     def remaining(self) -> tuple[int, ...]:
-        """Return the places in the job of the tasks still in the part."""
+        """Return the indices in the job of the tasks still in the part."""
         return tuple(
             index
             for position, index in enumerate(self.indices)
-            if position not in self.moved
+            if position not in self.removed
         )
 
 
 @dataclasses.dataclass(slots=True)
 class FrontJob:
-    """A client's job."""
+    """A client's job that is not answered yet."""
 
     request: _requests.JobRequest
+    #: Digest of the request, to compare repeated requests.
     digest: str
+    #: The clients' calls that wait for the answer.
     tokens: list[int]
+    #: Monotonic seconds.
     arrived_at: float
+    #: By submission.
     parts: dict[str, Part] = dataclasses.field(default_factory=dict)
+    #: Results received so far, by the task's index.
     results: dict[int, bytes] = dataclasses.field(default_factory=dict)
 
     @property
@@ -52,22 +57,22 @@
 
     @property
     def deadline_at(self) -> float:
-        """When it must be answered at the latest."""
+        """When the job fails if unanswered, in monotonic seconds."""
         if not self.request.deadline_s:
             return float("inf")
-        wait = self.request.deadline_s + _DEADLINE_MARGIN_S
-        return self.arrived_at + wait
+        wait_s = self.request.deadline_s + _DEADLINE_MARGIN_S
+        return self.arrived_at + wait_s
 
 
 class JobTable:
-    """All jobs of an entry's clients, by name and by part."""
+    """The open jobs of an entry's clients, by name and by part."""
 
     def __init__(self) -> None:
-        #: By the job's workspace and its client's name for it.
+        #: By workspace and request ID.
         self.jobs: dict[tuple[str, str], FrontJob] = {}
-        #: By the submissions of their parts.
+        #: By the submission of each of their parts.
         self.by_part: dict[str, FrontJob] = {}
-        #: Number of the last submission.
+        #: Number of the most recent submission.
         self.counter = 0
 
     def parts_at(self, scheduler: str) -> list[Part]:
@@ -87,7 +92,7 @@
 
 
 def digest_of(request: _requests.JobRequest) -> str:
-    """Return a short digest of what a request asks for."""
+    """Return a digest of the workspace, the service and the payloads."""
     hasher = hashlib.blake2b(digest_size=12)
     hasher.update(f"{request.workspace}|{request.service}".encode())
     for task in request.tasks:
--- a/src/ferryledge/core/_requests.py
+++ b/src/ferryledge/core/_requests.py
@@ -1,4 +1,4 @@
-"""A client's job and its answer, as the core sees them."""
+"""A client's job request and its answer."""
 
 import dataclasses
 
@@ -9,38 +9,39 @@
 class TaskRequest:
     """One task of a job."""
 
-    #: What the endpoint gets, as JSON text.
+    #: JSON text that is passed to the endpoint.
     payload: bytes
-    #: Run time that the client declared, in seconds; 0 is unknown.
+    #: Run time that the client declared, in seconds; 0 if unknown.
     declared_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobRequest:
-    """A job as a client sends it, already checked for its form."""
+    """A client's job, after its format has been validated."""
 
-    #: The client's own name for the request, unique within its workspace.
+    #: Chosen by the client; unique within its workspace.
     request_id: str
     workspace: str
     service: str
     tasks: tuple[TaskRequest, ...]
-    #: Seconds until the client no longer needs the answer; 0 is none.
+    #: Seconds until the client no longer needs the answer; 0 if unlimited.
     deadline_s: float = 0.0
-    #: Larger goes earlier; a policy may replace it.
+    #: More urgent jobs run earlier; a policy may replace the value.
     urgency: float = 1.0
-    #: Names of the places where the tasks may run; empty is anywhere.
+    #: Names of the places where the tasks may run; empty for no restriction.
     places: tuple[str, ...] = ()
+    #: Whether the tasks may safely run more than once.
     repeatable: bool = True
-    #: Authorises an unrepeatable job; empty if there is none.
+    #: Authorises an unrepeatable job; empty if the client has none.
     ticket: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobAnswer:
-    """The whole answer to a job."""
+    """The answer to a job."""
 
     outcome: outcomes.JobOutcome
-    #: The tag of each task's outcome, in order.
+    #: The tag of each task's outcome, in the order of the tasks.
     task_tags: tuple[str, ...] = ()
-    #: A ticket for the client's next unrepeatable job, if any.
+    #: A ticket for the client's next unrepeatable job; empty if none.
     spare_ticket: str = ""
--- a/src/ferryledge/core/_rulebook.py
+++ b/src/ferryledge/core/_rulebook.py
@@ -1,4 +1,4 @@
-"""The configuration in force, prepared for quick decisions."""
+"""One version of the configuration, indexed and with compiled policies."""
 
 import dataclasses
 
@@ -7,10 +7,10 @@
 
 
 class Rulebook:
-    """One version of the configuration.
+    """Looks up the entities of a configuration and evaluates its policies.
 
-    A policy that does not compile counts as absent; :attr:`failures`
-    names it.
+    A policy that does not compile is ignored and counted in
+    :attr:`failures`.
 
     :param snapshot: the configuration
     """
@@ -23,7 +23,7 @@
         self._rules: dict[str, policy.CompiledPolicy] = {}
         #: Availability zones that take no new work.
         self.cordons = frozenset(
-            one.name for one in snapshot.of_kind("cordon")
+            cordon.name for cordon in snapshot.of_kind("cordon")
         )
         self._failures: dict[str, int] = {}
         for entity in snapshot.entities:
@@ -39,25 +39,25 @@
 
     @property
     def version(self) -> int:
-        """The configuration's version; 0 if none is known."""
+        """Version of the configuration; 0 if none has been received."""
         return self._snapshot.version
 
     @property
     def snapshot(self) -> configlog.Snapshot:
-        """The configuration itself."""
+        """The configuration that this was built from."""
         return self._snapshot
 
     @property
     def failures(self) -> dict[str, int]:
-        """How often each policy's programs failed."""
+        """Number of failures of each policy, to compile or when evaluated."""
         return dict(self._failures)
 
     def service(self, name: str) -> configlog.Service | None:
-        """Return a service, or none."""
+        """Return a service, or ``None``."""
         return self._services.get(name)
 
     def workspace(self, name: str) -> configlog.Workspace | None:
-        """Return a workspace, or none."""
+        """Return a workspace, or ``None``."""
         return self._workspaces.get(name)
 
     def has_quota(self, name: str) -> bool:
@@ -66,22 +66,30 @@
         return workspace is not None and workspace.quota_slots > 0
 
     def weight(self, name: str) -> float:
-        """Return a workspace's weight under contention."""
+        """Return a workspace's weight in fair sharing."""
         workspace = self._workspaces.get(name)
         return 1.0 if workspace is None else workspace.weight
 
     def place(self, name: str) -> configlog.Place | None:
-        """Return a place, or none."""
+        """Return a place, or ``None``."""
         return self._places.get(name)
 
     def quotas(self) -> dict[str, int]:
-        """Return the quota of each workspace in slots; 0 is no limit."""
-        return {t.name: t.quota_slots for t in self._workspaces.values()}
+        """Return the quota of each workspace in slots; 0 for no limit."""
+        return {
+            workspace.name: workspace.quota_slots
+            for workspace in self._workspaces.values()
+        }
 
     def evaluate(
         self, service: configlog.Service, facts: policy.Facts
     ) -> policy.Decision:
-        """Let the service's policy weigh a job."""
+        """Evaluate the policy of a service for a job.
+
+        :param service: the job's service
+        :param facts: the properties of the job that policies can use
+        :return: the decision; without a policy the urgency stays as it is
+        """
         rules = self._rules.get(service.policy)
         if rules is None:
             return policy.Decision(facts.urgency)
@@ -97,18 +105,20 @@
         places: tuple[str, ...],
         known: frozenset[str],
     ) -> frozenset[str] | None:
-        """Return the zones in which a job may run; none is anywhere.
+        """Return the zones in which a job may run; ``None`` for any zone.
+
+        A policy that fails here does not restrict the zones.
 
         :param service: the job's service
-        :param facts: what its policy sees
-        :param places: the places that the client asked for
+        :param facts: the properties of the job that policies can use
+        :param places: names of the places that the client requested
         :param known: the zones that have endpoints
         """
-        wished = self._wished(places)
+        requested = self._requested_zones(places)
         rules = self._rules.get(service.policy)
         if rules is None or not rules.limits_zones:
-            return wished
-        zones = known if wished is None else known & wished
+            return requested
+        zones = known if requested is None else known & requested
         try:
             return frozenset(
                 zone
@@ -117,9 +127,11 @@
             )
         except policy.PolicyError:
             self._note_failure(service.policy)
-            return wished
+            return requested
 
-    def _wished(self, places: tuple[str, ...]) -> frozenset[str] | None:
+    def _requested_zones(
+        self, places: tuple[str, ...]
+    ) -> frozenset[str] | None:
         if not places:
             return None
         zones: set[str] = set()
