--- a/src/ferryledge/core/tests/test_entry.py
+++ b/src/ferryledge/core/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""An entry's decisions, driven directly."""
+"""Tests of the entry core, driven by events without a network."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 class Driver:
-    """Drives one entry and collects its actions."""
+    """Passes events to an entry core and returns its actions."""
 
     def __init__(self, **options):
         self.now = 0.0
@@ -53,48 +53,48 @@
 
     def submit(self, tasks=1, service="s", workspace="t", **fields):
         self.token += 1
-        made = (core.TaskRequest(b"1"),) * tasks
+        task_requests = (core.TaskRequest(b"1"),) * tasks
         request = core.JobRequest(
-            f"r{self.token}", workspace, service, made, **fields
+            f"r{self.token}", workspace, service, task_requests, **fields
         )
         return self.do(core.ClientSubmitted(self.token, request))
 
-    def say(self, peer, message):
+    def send(self, peer, message):
         return self.do(core.Received(peer, message))
 
-    def end(self, agent, start, ok=True):
+    def finish(self, agent, start, ok=True):
         ends = tuple(
             wire.FinishedTask(start.first_seq + n, index, ok, b"1", 0.1)
             for n, index in enumerate(start.indices)
         )
-        return self.say(agent, wire.TasksFinished(start.submission, ends))
+        return self.send(agent, wire.TasksFinished(start.submission, ends))
 
 
 def starts(actions):
     return [
-        (one.peer, one.message)
-        for one in actions
-        if isinstance(one, core.Send)
-        and isinstance(one.message, wire.StartTasks)
+        (action.peer, action.message)
+        for action in actions
+        if isinstance(action, core.Send)
+        and isinstance(action.message, wire.StartTasks)
     ]
 
 
 def answers(actions):
     return [
-        one.answer.outcome
-        for one in actions
-        if isinstance(one, core.AnswerClient)
+        action.answer.outcome
+        for action in actions
+        if isinstance(action, core.AnswerClient)
     ]
 
 
 @pytest.fixture
 def driver():
-    made = Driver()
-    made.configure()
-    return made
+    configured = Driver()
+    configured.configure()
+    return configured
 
 
-def test_without_configuration_nothing_runs():
+def test_job_without_configuration_is_refused():
     (outcome,) = answers(Driver().submit())
     assert outcome.reason is outcomes.Reason.NO_CONFIGURATION
     assert outcome.retry_after_s > 0
@@ -110,24 +110,24 @@
         ({"places": ("southern",)}, outcomes.Reason.IMPOSSIBLE),
     ],
 )
-def test_what_can_never_run_is_refused_at_once(driver, job, reason):
+def test_impossible_job_is_refused_without_retry(driver, job, reason):
     driver.agent_up("agent-1", memory_mb=500)
     (outcome,) = answers(driver.submit(**job))
     assert (outcome.reason, outcome.retry_after_s) == (reason, 0.0)
 
 
-def test_a_job_is_answered_once_and_whole(driver):
+def test_job_is_answered_once_with_all_results(driver):
     driver.agent_up("agent-1")
     driver.agent_up("agent-2")
     placed = starts(driver.submit(tasks=4))
     assert sorted(len(start.indices) for _, start in placed) == [2, 2]
     first, second = placed
-    assert answers(driver.end(*first)) == []
-    assert answers(driver.end(*second)) == [outcomes.Complete((b"1",) * 4)]
-    assert answers(driver.end(*second)) == []
+    assert answers(driver.finish(*first)) == []
+    assert answers(driver.finish(*second)) == [outcomes.Complete((b"1",) * 4)]
+    assert answers(driver.finish(*second)) == []
 
 
-def test_policies_and_places_say_where(driver):
+def test_policies_and_places_restrict_zones(driver):
     driver.agent_up("agent-1", zone="south", slots=8)
     driver.agent_up("agent-2", zone="north")
     assert starts(driver.submit(service="northern"))[0][0] == "agent-2"
@@ -137,57 +137,57 @@
 
 @pytest.fixture
 def cordoned(driver):
-    """Return a driver with an agent in a zone that is cordoned."""
+    """Return a driver with one agent, in a cordoned zone."""
     driver.agent_up("agent-s", "south")
     entities = (*ENTITIES, configlog.Cordon("south"))
     driver.do(core.ConfigChanged(configlog.Snapshot(2, 2, entities)))
     return driver
 
 
-def test_nothing_starts_in_a_cordoned_zone(cordoned):
+def test_no_task_starts_in_a_cordoned_zone(cordoned):
     cordoned.agent_up("agent-t", "south")
     cordoned.agent_up("agent-n", "north")
-    placed = [one for _ in range(4) for one in starts(cordoned.submit())]
+    placed = [start for _ in range(4) for start in starts(cordoned.submit())]
     assert {agent for agent, _ in placed} == {"agent-n"}
 
 
-def test_a_job_for_a_cordoned_zone_alone_is_refused(cordoned):
+def test_job_restricted_to_a_cordoned_zone_is_refused(cordoned):
     cordoned.agent_up("agent-n", "north")
     (outcome,) = answers(cordoned.submit(places=("southern",)))
     assert outcome.reason is outcomes.Reason.NO_ENDPOINT
     assert outcome.retry_after_s > 0.0
 
 
-def test_a_zone_that_is_taken_back_serves_at_once(cordoned):
+def test_uncordoned_zone_is_used_at_once(cordoned):
     cordoned.do(core.ConfigChanged(configlog.Snapshot(3, 3, ENTITIES)))
     placed = starts(cordoned.submit(places=("southern",)))
     assert [agent for agent, _ in placed] == ["agent-s"]
 
 
-def test_a_quota_holds_back_a_workspaces_tasks(driver):
+def test_quota_limits_the_running_tasks_of_a_workspace(driver):
     driver.agent_up("agent-1", slots=8)
     ((peer, start),) = starts(driver.submit(tasks=5, workspace="small"))
     assert len(start.indices) == 2
-    ((_, more),) = starts(driver.end(peer, start))
-    assert len(more.indices) == 2
+    ((_, next_start),) = starts(driver.finish(peer, start))
+    assert len(next_start.indices) == 2
 
 
-def test_a_workspace_over_its_share_waits_behind_the_others(driver):
+def test_workspace_over_its_share_waits_behind_others(driver):
     driver.agent_up("agent-1", slots=8)
     driver.submit(tasks=1, workspace="other")
     driver.submit(tasks=7, workspace="t")
     driver.submit(tasks=2, workspace="t")
     driver.submit(tasks=2, workspace="other")
     row = driver.entry.scheduler.table.find("agent-1")
-    ends = [one for one in row.bound.values() if one.index == 0][1]
-    ended = wire.FinishedTask(ends.seq, 0, True, b"1", 0.1)
-    freed = driver.say(
-        "agent-1", wire.TasksFinished(ends.submission, (ended,))
+    binding = [bound for bound in row.bound.values() if bound.index == 0][1]
+    ended = wire.FinishedTask(binding.seq, 0, True, b"1", 0.1)
+    freed = driver.send(
+        "agent-1", wire.TasksFinished(binding.submission, (ended,))
     )
     assert [start.label for _, start in starts(freed)] == ["r4"]
 
 
-def test_a_full_queue_refuses_with_a_time_to_come_back():
+def test_full_queue_refuses_with_a_retry_delay():
     driver = Driver(max_waiting_tasks=3)
     driver.configure()
     driver.agent_up("agent-1")
@@ -197,7 +197,7 @@
     assert outcome.retry_after_s > 0
 
 
-def test_guards_refuse_what_would_be_late():
+def test_guards_refuse_a_job_that_would_miss_its_deadline():
     driver = Driver(guards=True)
     driver.configure()
     driver.agent_up("agent-1")
@@ -206,7 +206,7 @@
     assert outcome.reason is outcomes.Reason.DEADLINE
 
 
-def test_the_refused_do_not_return_together():
+def test_retry_delays_of_refused_jobs_differ():
     driver = Driver(max_waiting_tasks=1)
     driver.configure()
     driver.agent_up("agent-1")
@@ -216,8 +216,8 @@
     assert len(delays) == 20
 
 
-def test_a_probe_keeps_to_the_agents_that_the_front_can_reach(driver):
-    """Else a lost scheduler's probe could not be taken back."""
+def test_probe_uses_only_agents_that_the_front_can_reach(driver):
+    """Otherwise a lost scheduler's probe could not be recovered."""
     front = wire.Hello(wire.Role.ENTRY, "entry-2", "f", "north")
     driver.do(core.PeerUp(front))
     driver.agent_up("agent-1", slots=1)
@@ -229,23 +229,23 @@
         nonlocal number
         number += 1
         job = wire.PlaceJob(f"f.{number}", "t", "s", (wire.PlacedTask(b"1"),))
-        return starts(driver.say("entry-2", job))
+        return starts(driver.send("entry-2", job))
 
-    driver.say("entry-2", wire.AgentSet(("agent-2/a",)))
+    driver.send("entry-2", wire.AgentSet(("agent-2/a",)))
     while placed := place():
-        driver.end("agent-2", placed[0][1], ok=False)
+        driver.finish("agent-2", placed[0][1], ok=False)
     row = driver.entry.scheduler.table.find("agent-2")
     assert row.ejected
-    moved = driver.say("entry-2", wire.AgentSet(("agent-1/a",)))
+    moved = driver.send("entry-2", wire.AgentSet(("agent-1/a",)))
     assert [peer for peer, _ in starts(moved)] == ["agent-1"]
     assert place() == []
     driver.now += 2.0
     assert starts(driver.do()) == []
 
 
-def test_an_unrepeatable_job_runs_at_its_tickets_arbiter(driver):
+def test_unrepeatable_job_runs_at_the_issuer_of_its_ticket(driver):
     driver.agent_up("agent-1")
-    driver.say("agent-1", wire.Tickets(("agent-1~a~0",)))
+    driver.send("agent-1", wire.Tickets(("agent-1~a~0",)))
     (outcome,) = answers(driver.submit(service="once"))
     assert outcome == outcomes.TicketRequired("agent-1~a~0")
     ((peer, start),) = starts(
@@ -254,24 +254,24 @@
     assert (peer, start.ticket) == ("agent-1", outcome.ticket)
 
 
-def test_a_ticket_of_an_unknown_agent_is_never_run(driver):
+def test_job_with_a_ticket_of_an_unknown_agent_never_runs(driver):
     driver.agent_up("agent-1")
     actions = driver.submit(service="once", ticket="gone~x~1")
     assert starts(actions) == []
     assert isinstance(answers(actions)[0], outcomes.FailedMayHaveRun)
 
 
-def places(actions):
+def placed_jobs(actions):
     return [
-        one.message
-        for one in actions
-        if isinstance(one, core.Send)
-        and isinstance(one.message, wire.PlaceJob)
+        action.message
+        for action in actions
+        if isinstance(action, core.Send)
+        and isinstance(action.message, wire.PlaceJob)
     ]
 
 
-def test_a_late_word_on_one_fence_does_not_count_for_the_next():
-    """Streams that flap can bring an agent's first word twice."""
+def test_repeated_report_on_a_fence_is_ignored_for_the_next():
+    """A reconnecting stream can deliver an agent's fence report twice."""
     driver = Driver(direct_load=0.0)
     driver.configure()
     driver.agent_up("agent-1")
@@ -280,18 +280,18 @@
         for n in range(2, 9)
     ]
     driver.do(*(core.PeerUp(hello) for hello in hellos))
-    (first,) = places(driver.submit())
+    (first,) = placed_jobs(driver.submit())
     hello = next(
-        one for one in hellos if driver.entry.front.outstanding(one.name)
+        peer for peer in hellos if driver.entry.front.outstanding(peer.name)
     )
     scheduler = hello.name
     driver.do(core.PeerDown(scheduler, hello.incarnation))
     driver.do(core.PeerUp(hello))
-    word = wire.FenceReport(hello.incarnation, through=1)
-    (second,) = places(driver.say("agent-1", word))
+    report = wire.FenceReport(hello.incarnation, through=1)
+    (second,) = placed_jobs(driver.send("agent-1", report))
     assert second.submission != first.submission
     driver.do(core.PeerDown(scheduler, hello.incarnation))
-    assert places(driver.say("agent-1", word)) == []
-    later = wire.FenceReport(hello.incarnation, through=2)
-    actions = driver.say("agent-1", later)
-    assert len(places(actions)) + len(starts(actions)) == 1
+    assert placed_jobs(driver.send("agent-1", report)) == []
+    second_report = wire.FenceReport(hello.incarnation, through=2)
+    actions = driver.send("agent-1", second_report)
+    assert len(placed_jobs(actions)) + len(starts(actions)) == 1
