--- a/src/ferryledge/core/_scheduler.py
+++ b/src/ferryledge/core/_scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler of a pool: takes jobs in, and answers them.
+"""The scheduler of a pool.
 
-A task is bound to one endpoint. It is bound again only after the agent
-said that it has not started and never will.
+A task is bound to one endpoint. It is bound again only after the endpoint's
+agent has confirmed that the task has not started and never will.
 """
 
 import random
@@ -26,18 +26,21 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Seconds between checks for silence, deadlines and overdue tasks.
-_SWEEP_S = 0.1
+#: Seconds between checks for silent agents, deadlines and overdue tasks.
+_SWEEP_INTERVAL_S = 0.1
 
 
 class Scheduler:
     """Places jobs on the endpoints of a pool.
 
+    The front of a job is the entry that took the job from its client and
+    waits for the answer.
+
     :param identity: this process
-    :param options: how to decide
-    :param peers: where messages go out
-    :param rng: source of all randomness
-    :param trace: where decisions are noted
+    :param options: limits and timeouts
+    :param peers: sends messages to other processes
+    :param rng: random number generator for all random choices
+    :param trace: records decisions
     """
 
     def __init__(
@@ -57,25 +60,26 @@
         self._admission = _admission.Admission(self._state)
         self._placing = _placing.Placing(self._state)
         self._monitoring = _monitoring.Monitoring(self._state)
-        #: Ends and answers jobs.
+        #: Ends jobs and sends their answers.
         self.answering = _answering.Answering(self._state)
-        #: Jobs with tickets.
+        #: Queues jobs and redeems their tickets.
         self.ticketing = _ticketing.Ticketing(
             self._state, self._admission, self._placing, self.answering
         )
-        #: The ends of tasks.
+        #: Handles reports of finished and released tasks.
         self.task_ends = _task_ends.TaskEnds(
             self._state, self.answering, self.ticketing
         )
-        #: The endpoints' comings and goings.
+        #: Handles endpoints that connect, disconnect or leave.
         self.endpoints = _endpoints.Endpoints(
             self._state, self.answering, self.ticketing
         )
+        #: Numbers of the submissions received, by front.
         self._seen: dict[str, ledger.SeenNumbers] = {}
         self._next_sweep = 0.0
 
     def _fair_share_penalty(self, workspace: str) -> float:
-        """Return how far its use of slots puts a workspace's jobs back."""
+        """Return the queue penalty for a workspace's current slot usage."""
         rulebook = self._state.rulebook
         active = self._state.quotas.active() | {workspace}
         return limits.fair_share_penalty(
@@ -87,45 +91,45 @@
 
     @property
     def waiting(self) -> int:
-        """Tasks that wait for a slot."""
+        """Number of tasks that wait for a slot."""
         return self._state.queue.tasks
 
     @property
     def jobs(self) -> int:
-        """Jobs that are not answered yet."""
+        """Number of jobs that are not answered yet."""
         return len(self._state.jobs)
 
     @property
     def placed(self) -> int:
-        """Tasks bound so far, over all jobs."""
+        """Number of tasks bound so far, over all jobs."""
         return self._state.next_seq
 
     @property
     def table(self) -> placement.EndpointTable:
-        """The endpoints."""
+        """The endpoints of the pool."""
         return self._state.table
 
     @property
     def run_times(self) -> placement.RunTimes:
-        """What was learned of run times."""
+        """Run-time estimates of services and endpoints."""
         return self._state.run_times
 
     @property
     def health_tracker(self) -> health.HealthTracker:
-        """The judge of the endpoints' health."""
+        """The health states of the endpoints."""
         return self._state.health_tracker
 
     def configure(self, rulebook: _rulebook.Rulebook) -> None:
-        """Put a newer configuration in force."""
+        """Apply a newer configuration."""
         self._state.rulebook = rulebook
         self._state.table.set_cordons(rulebook.cordons)
         self._state.quotas.set_quotas(rulebook.quotas())
 
     def place(self, now: float, front: str, message: wire.PlaceJob) -> None:
-        """Admit a job, or refuse it at once.
+        """Admit and queue a job, or refuse it.
 
         :param now: monotonic seconds
-        :param front: the peer that sent it; empty is this entry
+        :param front: the peer that sent the job; empty for this entry
         :param message: the job
         """
         if not self._is_new(message.submission):
@@ -140,9 +144,9 @@
         self.ticketing.enqueue(now, admitted)
 
     def _is_new(self, submission: str) -> bool:
-        """Return whether a submission was never seen, and note it.
+        """Record a submission and return whether it is new.
 
-        A repeat must not run again, not even after its job has ended.
+        A duplicate must not run, even after the first job has ended.
         """
         front = ledger.submission_front(submission)
         seen = self._seen.get(front)
@@ -151,7 +155,7 @@
         return seen.add(ledger.submission_number(submission))
 
     def cancel(self, now: float, front: str, submission: str) -> None:
-        """End a job that its front no longer wants."""
+        """Cancel a job at the request of its front."""
         job = self._state.jobs.get(submission)
         if job is None or job.front != front:
             return
@@ -162,7 +166,7 @@
     def front_lost(self, now: float, front: str) -> None:
         """Drop the jobs of a front whose stream broke.
 
-        Tasks that run go on: the front may be taking them back.
+        Running tasks continue: the front may be recovering them.
         """
         self._state.agent_sets.pop(front, None)
         for job in list(self._state.jobs.values()):
@@ -170,11 +174,11 @@
                 self.answering.forget(job)
 
     def abandon(self, now: float, front: str, through: int) -> None:
-        """Drop the jobs that a front has taken back.
+        """Drop the jobs that a front has recovered.
 
         :param now: monotonic seconds
         :param front: the front's name
-        :param through: number of its last submission that is given up
+        :param through: number of the last submission to drop
         """
         for job in list(self._state.jobs.values()):
             number = ledger.submission_number(job.submission)
@@ -185,33 +189,35 @@
         self,
         preferred_endpoints: frozenset[str],
         owns_pool: bool,
-        pool: frozenset[str] | None,
+        pool_endpoints: frozenset[str] | None,
     ) -> None:
-        """Say which endpoints fall to this entry.
+        """Set the endpoints that are assigned to this entry.
 
-        :param preferred_endpoints: used for jobs that it does not hand over
-        :param owns_pool: whether others hand their jobs to this entry
-        :param pool: those of its pools; none is all
+        :param preferred_endpoints: endpoints to prefer for jobs that this
+            entry schedules itself
+        :param owns_pool: whether other entries delegate jobs to this entry
+        :param pool_endpoints: the endpoints of this entry's pools; ``None``
+            for all endpoints
         """
         self._state.preferred_endpoints = preferred_endpoints
         self._state.owns_pool = owns_pool
         for row in self._state.table:
             row.assigned = (
-                pool is None
-                or row.name in pool
+                pool_endpoints is None
+                or row.name in pool_endpoints
                 or row.name in preferred_endpoints
             )
             self._state.table.refresh(row)
         share = 1.0
-        if pool is not None and len(self._state.table):
-            share = len(pool) / len(self._state.table)
+        if pool_endpoints is not None and len(self._state.table):
+            share = len(pool_endpoints) / len(self._state.table)
         self._state.quotas.set_share(share)
 
     def can_place(self, tasks: int, margin: float) -> bool:
-        """Return whether the preferred endpoints have room for a job.
+        """Return whether the preferred endpoints can take a job at once.
 
-        :param tasks: its number of tasks
-        :param margin: share of their slots that must stay free
+        :param tasks: number of tasks of the job
+        :param margin: fraction of their slots that must stay free
         """
         if self._state.queue.tasks:
             return False
@@ -224,19 +230,23 @@
         return free - tasks >= margin * slots
 
     def allow_agents(self, front: str, processes: frozenset[str]) -> None:
-        """Restrict a front's jobs to agents that it can reach."""
+        """Restrict a front's jobs to the agents that the front can reach.
+
+        :param front: the front's name
+        :param processes: the process keys of those agents
+        """
         self._state.agent_sets[front] = processes
 
     def run_systems(self, now: float) -> None:
-        """Run all systems over the tables."""
+        """Check timeouts if due, then probe endpoints and place tasks."""
         if now >= self._next_sweep:
-            self._next_sweep = now + _SWEEP_S
+            self._next_sweep = now + _SWEEP_INTERVAL_S
             self._sweep(now)
         self._placing.send_probes(now)
         self._placing.place_waiting(now)
 
     def wake_at(self) -> float:
-        """Return when to run the systems at the latest."""
+        """Return the time by which :meth:`run_systems` must run next."""
         if not self._state.jobs:
             return float("inf")
         return self._next_sweep
@@ -253,7 +263,7 @@
         self._sweep_timeouts(now)
 
     def _sweep_timeouts(self, now: float) -> None:
-        for job, name in self._monitoring.late_jobs(now):
+        for job, name in self._monitoring.timed_out_jobs(now):
             self.answering.fail(
                 now,
                 job,
