--- a/src/ferryledge/core/_placing.py
+++ b/src/ferryledge/core/_placing.py
@@ -1,4 +1,4 @@
-"""Binds waiting tasks to endpoints."""
+"""Binds waiting tasks to endpoints and sends them to the agents."""
 
 from ferryledge.core import _jobs
 from ferryledge.core import _pool_state
@@ -7,27 +7,28 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Share of the queue's wait that a slow slot must beat: a job at the head of
-#: the queue gets the next normal slot, long before the whole queue is done.
-_SLOW_SLOT_WAIT = 0.1
+#: Fraction of the time to drain the queue that counts as the wait for a normal
+#: slot. The first job in the queue gets the next normal slot, long before the
+#: queue is drained.
+_NORMAL_SLOT_WAIT_FRACTION = 0.1
 
 
 class Placing:
-    """Takes tasks from the queue to free slots.
+    """Binds queued tasks to free slots.
 
-    :param state: the pool
+    :param state: the state of the pool
     """
 
     def __init__(self, state: _pool_state.PoolState) -> None:
         self._state = state
 
     def place_waiting(self, now: float) -> None:
-        """Bind waiting tasks to free slots, in the queue's order."""
+        """Bind waiting tasks to free slots, in queue order."""
         if not self._state.queue.tasks:
             return
         rows = self._state.table.available_rows(now)
         if not rows:
-            self._call_reports(now)
+            self._request_reports(now)
             return
         for waiting in self._state.queue.candidates(now):
             job = self._state.jobs[waiting.submission]
@@ -36,31 +37,31 @@
             if not rows:
                 break
         if self._state.queue.tasks:
-            self._call_reports(now)
+            self._request_reports(now)
 
     def _place_job(self, now: float, job: _jobs.Job) -> None:
         waiting = job.waiting
         while waiting.tasks:
-            room = self._state.quotas.headroom(waiting.workspace)
-            if room < 1:
+            headroom = self._state.quotas.headroom(waiting.workspace)
+            if headroom < 1:
                 return
-            row = self._choose(now, job)
+            row = self._choose_endpoint(now, job)
             if row is None:
                 return
             count = min(
                 len(waiting.tasks), row.task_capacity(job.service.memory_mb)
             )
-            count = int(min(count, room))
+            count = int(min(count, headroom))
             self.send_start(now, job, row, count)
 
-    def _choose(
+    def _choose_endpoint(
         self, now: float, job: _jobs.Job
     ) -> placement.EndpointRow | None:
         slots = max(1, self._state.table.slots)
-        wish = placement.PlacementRequest(
+        request = placement.PlacementRequest(
             job.waiting.expected_s,
             self._state.normal_slowness,
-            _SLOW_SLOT_WAIT * self._state.queue.work_s / slots,
+            _NORMAL_SLOT_WAIT_FRACTION * self._state.queue.work_s / slots,
             job.zones,
             job.service.memory_mb,
             self._state.identity.zone,
@@ -68,7 +69,7 @@
             self._state.agent_sets.get(job.front),
         )
         rows = self._state.table.available_rows(now)
-        return placement.choose_endpoint(rows, self._state.run_times, wish)
+        return placement.choose_endpoint(rows, self._state.run_times, request)
 
     def send_start(
         self,
@@ -77,7 +78,13 @@
         row: placement.EndpointRow,
         count: int,
     ) -> None:
-        """Bind that many of a job's waiting tasks to an endpoint."""
+        """Bind waiting tasks of a job to an endpoint and send them.
+
+        :param now: monotonic seconds
+        :param job: the job
+        :param row: the endpoint
+        :param count: number of tasks to bind
+        """
         at_arbiter = job.ticket_use is _jobs.TicketUse.AT_ARBITER
         if at_arbiter:
             indices = [job.waiting.tasks.popleft() for _ in range(count)]
@@ -86,8 +93,10 @@
         first_seq = self._state.next_seq
         self._state.next_seq += count
         tasks = job.message.tasks
-        each = self._report_each(count)
-        self._state.held_back = self._state.held_back or not each
+        report_each = self._should_report_each(count)
+        self._state.has_deferred_reports = (
+            self._state.has_deferred_reports or not report_each
+        )
         for offset, index in enumerate(indices):
             binding = placement.Binding(
                 first_seq + offset,
@@ -98,7 +107,7 @@
                 job.waiting.expected_s,
                 tasks[index].declared_s,
                 job.service.memory_mb,
-                each,
+                report_each,
             )
             self._state.table.bind(binding)
             job.bound[binding.seq] = row.name
@@ -107,8 +116,8 @@
             now,
             job.submission,
             _trace.Mechanism.PLACEMENT,
-            f"{count} tasks to {row.name} in {row.zone}, free {row.free} "
-            f"of {row.slots} after, slowness "
+            f"{count} tasks to {row.name} in {row.zone}, {row.free} of "
+            f"{row.slots} slots still free, slowness "
             f"{self._state.run_times.slowness(row.name):.2f}",
         )
         message = wire.StartTasks(
@@ -119,18 +128,19 @@
             first_seq,
             tuple(indices),
             tuple(tasks[index].payload for index in indices),
-            each,
+            report_each,
             job.service.memory_mb,
             job.message.label,
             job.message.ticket if at_arbiter else "",
         )
         self._state.peers.send(now, row.name, message)
 
-    def _report_each(self, count: int) -> bool:
-        """Return whether results are wanted one by one.
+    def _should_report_each(self, count: int) -> bool:
+        """Return whether the agent reports each task as it finishes.
 
-        While many slots are free nobody waits for the news of a free one,
-        and the job can't be answered before its last task anyway.
+        While many slots are free, no task waits for a slot, and a job is
+        answered only after its last task. Reporting the tasks together then
+        saves messages at no cost.
         """
         if count == 1:
             return True
@@ -138,21 +148,23 @@
         free = slots - self._state.table.bound
         return free < self._state.options.report_together_free * slots
 
-    def _call_reports(self, now: float) -> None:
-        """Ask for results that are held back, now that tasks wait."""
-        if not self._state.held_back:
+    def _request_reports(self, now: float) -> None:
+        """Request the reports that agents defer, because tasks wait."""
+        if not self._state.has_deferred_reports:
             return
-        self._state.held_back = False
+        self._state.has_deferred_reports = False
         for row in self._state.table:
-            held = [one for one in row.bound.values() if not one.report_each]
-            if not held:
+            deferred = [
+                task for task in row.bound.values() if not task.report_each
+            ]
+            if not deferred:
                 continue
-            for binding in held:
+            for binding in deferred:
                 binding.report_each = True
             self._state.peers.send(now, row.name, wire.ReportNow())
 
     def send_probes(self, now: float) -> None:
-        """Try endpoints whose ejection is over with one task each."""
+        """Send one task to each endpoint whose ejection has expired."""
         if not self._state.health_tracker.has_restricted:
             return
         self._state.health_tracker.probes_due(now)
@@ -171,7 +183,7 @@
                     pass
 
     def _probe(self, now: float, row: placement.EndpointRow) -> None:
-        """Send one repeatable waiting task to an endpoint on trial."""
+        """Send one repeatable task to an endpoint to check its health."""
         for waiting in self._state.queue.candidates(now):
             job = self._state.jobs[waiting.submission]
             allowed = self._state.may_use(job, row)
--- a/src/ferryledge/core/_pool_state.py
+++ b/src/ferryledge/core/_pool_state.py
@@ -1,4 +1,4 @@
-"""The tables of a scheduler, over which its systems run."""
+"""The state that the components of a scheduler share."""
 
 import dataclasses
 import random
@@ -13,20 +13,21 @@
 from ferryledge import limits
 from ferryledge import placement
 
-_SHORTEST_DELAY_S = 0.2
+#: Lower bound of the retry delay, before jitter.
+_MIN_RETRY_DELAY_S = 0.2
 
 
 @dataclasses.dataclass(slots=True)
 class PoolState:
-    """What a scheduler knows of its pool and its jobs."""
+    """The endpoints, jobs and configuration of a scheduler."""
 
     identity: _options.Identity
     options: _options.EntryOptions
-    #: Where messages go out.
+    #: Sends messages to other processes.
     peers: _peers.Peers
-    #: Source of all randomness.
+    #: Random number generator for all random choices.
     rng: random.Random
-    #: Where decisions are noted.
+    #: Records decisions.
     trace: _trace.Trace
     queue: placement.WaitingQueue
     rulebook: _rulebook.Rulebook = dataclasses.field(
@@ -44,27 +45,28 @@
     quotas: limits.QuotaShares = dataclasses.field(
         default_factory=limits.QuotaShares
     )
+    #: Jobs that are not answered yet, by submission.
     jobs: dict[str, _jobs.Job] = dataclasses.field(default_factory=dict)
-    #: For each front, the processes that it can reach itself.
+    #: Process keys of the agents that each front can reach directly.
     agent_sets: dict[str, frozenset[str]] = dataclasses.field(
         default_factory=dict
     )
-    #: Endpoints to use first for jobs of this entry's own clients.
+    #: Endpoints to prefer for jobs of this entry's own clients.
     preferred_endpoints: frozenset[str] = frozenset()
-    #: Whether others hand their jobs to this entry.
+    #: Whether other entries delegate jobs to this entry.
     owns_pool: bool = True
-    #: Whether some results may be reported only with others.
-    held_back: bool = False
-    #: Slowness of the usable endpoint in the middle.
+    #: Whether agents may defer the reports of some tasks.
+    has_deferred_reports: bool = False
+    #: Median slowness of the usable endpoints.
     normal_slowness: float = 1.0
-    #: Number of the next task that is bound.
+    #: Sequence number of the next task to bind.
     next_seq: int = 0
 
     def may_use(self, job: _jobs.Job, row: placement.EndpointRow) -> bool:
-        """Return whether a job's tasks may go to an endpoint at all.
+        """Return whether an endpoint is eligible for a job's tasks.
 
-        A front's tasks go only to agents that it can reach, so that it can
-        take them back.
+        Tasks go only to agents that the job's front can reach, so that the
+        front can recover the tasks if this scheduler is lost.
         """
         if job.zones is not None and row.zone not in job.zones:
             return False
@@ -72,12 +74,15 @@
         return processes is None or row.process in processes
 
     def spread(self, base_s: float) -> float:
-        """Return a delay for a refusal, spread among those refused."""
+        """Return a retry delay with jitter, up to the configured maximum.
+
+        :param base_s: the delay before jitter, in seconds
+        """
         return limits.jittered_delay(
             base_s, self.options.max_retry_after_s, self.rng
         )
 
     def drain_s(self) -> float:
-        """Return when what waits now may have been worked off."""
+        """Return a retry delay based on the time to drain the queue."""
         slots = max(1, self.table.slots)
-        return self.spread(max(_SHORTEST_DELAY_S, self.queue.work_s / slots))
+        return self.spread(max(_MIN_RETRY_DELAY_S, self.queue.work_s / slots))
