--- a/src/ferryledge/core/_endpoints.py
+++ b/src/ferryledge/core/_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a pool as they come, break off and go."""
+"""Handles endpoints that connect, disconnect and leave."""
 
 from ferryledge.core import _answering
 from ferryledge.core import _jobs
@@ -11,11 +11,11 @@
 
 
 class Endpoints:
-    """Keeps the table of endpoints.
+    """Keeps the table of endpoints up to date.
 
-    :param state: the pool
-    :param answering: ends jobs that are lost with an endpoint
-    :param ticketing: asks again where a ticket's agent came back
+    :param state: the state of the pool
+    :param answering: fails the jobs of a lost endpoint
+    :param ticketing: repeats ticket requests when an agent reconnects
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self._ticketing = ticketing
 
     def agent_up(self, now: float, hello: wire.Hello) -> None:
-        """Add an endpoint, or take back one whose stream broke."""
+        """Add an endpoint, or reconnect an endpoint whose stream broke."""
         row = self._state.table.find(hello.name)
         if row is not None and row.incarnation == hello.incarnation:
             row.connected = True
@@ -57,7 +57,10 @@
         )
 
     def agent_down(self, now: float, name: str) -> None:
-        """Note a broken stream; it may come back for a while."""
+        """Mark an endpoint as disconnected.
+
+        It stays in the table until the grace period for reconnecting ends.
+        """
         row = self._state.table.find(name)
         if row is None:
             return
@@ -66,41 +69,42 @@
         self._state.table.refresh(row)
 
     def agent_leaving(self, name: str) -> None:
-        """Send no new work to an endpoint."""
+        """Stop sending new tasks to an endpoint."""
         row = self._state.table.find(name)
         if row is not None and not row.leaving:
             row.leaving = True
             self._state.table.refresh(row)
 
     def _reconcile(self, now: float, row: placement.EndpointRow) -> None:
+        """Repeat pending requests and ask the agent about bound tasks."""
         for job in list(self._state.jobs.values()):
-            asked = job.ticket_use is _jobs.TicketUse.ASKED
-            if asked and ledger.issuer_of(job.message.ticket) == row.name:
+            is_pending = job.ticket_use is _jobs.TicketUse.ASKED
+            if is_pending and ledger.issuer_of(job.message.ticket) == row.name:
                 self._ticketing.authorise(now, job, row)
         if not row.bound:
             return
         bound = list(row.bound.values())
         message = wire.Reconcile(
-            tuple(one.seq for one in bound),
-            tuple(one.submission for one in bound),
+            tuple(binding.seq for binding in bound),
+            tuple(binding.submission for binding in bound),
         )
         self._state.peers.send(now, row.name, message)
 
     def agent_gone(self, now: float, row: placement.EndpointRow) -> None:
-        """Fail the jobs with tasks at an endpoint that is lost."""
-        submissions = {one.submission for one in row.bound.values()}
+        """Remove a lost endpoint and fail the jobs that depend on it."""
+        submissions = {binding.submission for binding in row.bound.values()}
         for job in self._state.jobs.values():
-            asked = job.ticket_use is _jobs.TicketUse.ASKED
-            if asked and ledger.issuer_of(job.message.ticket) == row.name:
+            is_pending = job.ticket_use is _jobs.TicketUse.ASKED
+            if is_pending and ledger.issuer_of(job.message.ticket) == row.name:
                 submissions.add(job.submission)
         self._state.table.drop(row.name)
         self._state.health_tracker.leave(row.name)
         for submission in submissions:
-            held = self._state.jobs.get(submission)
-            if held is not None:
+            lost_job = self._state.jobs.get(submission)
+            if lost_job is not None:
                 self._answering.fail(
                     now,
-                    held,
+                    lost_job,
                     outcomes.Reason.AGENT_LOST,
                     outcomes.Step.RUN,
                     row.name,
--- a/src/ferryledge/core/_recovery.py
+++ b/src/ferryledge/core/_recovery.py
@@ -1,8 +1,9 @@
-"""Takes jobs back from schedulers that are lost.
+"""Recovers jobs from lost schedulers.
 
 The front fences a lost scheduler at every agent that it may have used. The
-agents refuse its further tasks and tell what started. Only tasks that
-provably never started are handed on; silence is no proof.
+agents then refuse further tasks of that scheduler and report which of its
+tasks have started. Once all have reported, the tasks that never started are
+placed again. If an agent does not report in time, the jobs fail.
 """
 
 from collections import abc
@@ -15,29 +16,34 @@
 from ferryledge import outcomes
 from ferryledge import wire
 
-#: Seconds that agents have to report on a fence.
-_FENCE_S = 2.0
+#: Seconds within which agents must report on a fence.
+_REPORT_TIMEOUT_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class Fence:
-    """A lost scheduler whose tasks are being accounted for."""
+    """A lost scheduler whose tasks are being recovered."""
 
+    #: Incarnation of the scheduler.
     owner: str
+    #: Name of the scheduler.
     name: str
-    #: Number of this front's last submission when it was lost.
+    #: Number of the front's last submission at the time of the loss.
     through: int
-    #: Agents that have not reported yet.
+    #: Process keys of the agents that have not reported yet.
     missing: set[str]
+    #: Monotonic seconds at which the wait for reports began.
     started_at: float
-    #: The parts that it held, with what is known of their tasks.
+    #: The unresolved parts that the scheduler held, by submission.
     parts: dict[str, _front_jobs.Part]
+    #: Finished tasks, by submission and position in the part.
     finished: dict[str, dict[int, wire.FinishedTask]]
+    #: Agents of running tasks, by submission and position in the part.
     running: dict[str, dict[int, str]]
 
 
 class Fail(typing.Protocol):
-    """Answers a job as failed."""
+    """Callback that answers a job as failed."""
 
     def __call__(
         self,
@@ -51,13 +57,13 @@
 
 
 class Recovery:
-    """Accounts for the tasks of lost schedulers.
+    """Recovers the tasks of lost schedulers.
 
     :param table: the clients' jobs
-    :param peers: where messages go out
-    :param trace: where decisions are noted
+    :param peers: sends messages to other processes
+    :param trace: records decisions
     :param fail: answers a job as failed
-    :param complete_if_whole: answers a job if all its results are here
+    :param complete_if_whole: answers a job if it has all its results
     """
 
     def __init__(
@@ -76,7 +82,7 @@
         self._fences: list[Fence] = []
 
     def scheduler_lost(self, now: float, name: str, incarnation: str) -> None:
-        """Take back the parts that a scheduler holds.
+        """Fence a lost scheduler to recover the parts that it holds.
 
         :param now: monotonic seconds
         :param name: the scheduler's name
@@ -92,7 +98,7 @@
         agents: set[str] = set()
         for part in parts.values():
             agents |= part.group.agents
-            # Late answers of the lost scheduler no longer count.
+            # Ignores later answers of the lost scheduler.
             part.scheduler = f"{name} (lost)"
         fence = Fence(
             incarnation, name, self._table.counter, agents, now, parts, {}, {}
@@ -121,19 +127,28 @@
         return wire.FenceOwner(fence.owner, fence.through, tuple(fence.parts))
 
     def agent_lost(self, now: float, process: str) -> None:
-        """Note that an agent's word must be asked for again."""
+        """Require a new report from an agent that runs fenced tasks.
+
+        :param now: monotonic seconds
+        :param process: the process key of the agent
+        """
         for fence in self._fences:
-            held = any(
-                holder == process
+            runs_task = any(
+                agent == process
                 for tasks in fence.running.values()
-                for holder in tasks.values()
+                for agent in tasks.values()
             )
-            if held:
+            if runs_task:
                 fence.missing.add(process)
                 fence.started_at = now
 
     def agent_up(self, now: float, name: str, process: str) -> None:
-        """Ask an agent whose stream is back."""
+        """Send an agent that reconnected the fences it must report on.
+
+        :param now: monotonic seconds
+        :param name: the agent's name
+        :param process: its process key
+        """
         for fence in self._fences:
             if process in fence.missing:
                 self._peers.send(now, name, self._fence_message(fence))
@@ -141,38 +156,38 @@
     def on_report(
         self, process: str, report: wire.FenceReport
     ) -> list[tuple[_front_jobs.FrontJob, tuple[int, ...]]]:
-        """Take in an agent's word on a lost scheduler's tasks.
+        """Process an agent's report on a lost scheduler's tasks.
 
         :param process: the process key of the agent
-        :param report: its word
-        :return: jobs with the tasks that never started, to hand on
+        :param report: the report
+        :return: jobs to place again, with their tasks that never started
         """
         for fence in self._fences:
-            self._note(fence, process, report)
-            # A report on an earlier fence says nothing of a later one.
-            same = fence.owner == report.owner
-            if report.first and same and fence.through == report.through:
+            self._record_report(fence, process, report)
+            # A report counts only for the fence that it answers.
+            same_owner = fence.owner == report.owner
+            if report.first and same_owner and fence.through == report.through:
                 fence.missing.discard(process)
-        again = []
+        to_place = []
         for fence in list(self._fences):
-            again += self._settle_fence(fence)
-        return again
+            to_place += self._settle_fence(fence)
+        return to_place
 
-    def _note(
+    def _record_report(
         self, fence: Fence, process: str, report: wire.FenceReport
     ) -> None:
-        for told in report.jobs:
-            if told.submission not in fence.parts:
+        for job_report in report.jobs:
+            if job_report.submission not in fence.parts:
                 continue
-            finished = fence.finished.setdefault(told.submission, {})
-            running = fence.running.setdefault(told.submission, {})
-            for task in told.finished:
+            finished = fence.finished.setdefault(job_report.submission, {})
+            running = fence.running.setdefault(job_report.submission, {})
+            for task in job_report.finished:
                 finished[task.index] = task
                 running.pop(task.index, None)
-            for index in told.running:
+            for index in job_report.running:
                 if index not in finished:
                     running[index] = process
-            for index in told.unstarted:
+            for index in job_report.unstarted:
                 running.pop(index, None)
 
     def _settle_fence(
@@ -180,29 +195,29 @@
     ) -> list[tuple[_front_jobs.FrontJob, tuple[int, ...]]]:
         if fence.missing:
             return []
-        again = []
+        to_place = []
         for submission, part in list(fence.parts.items()):
             job = self._table.by_part.get(submission)
             if job is None:
                 del fence.parts[submission]
                 continue
-            left = self._settle_part(fence, job, part)
-            if left is None:
+            unstarted = self._settle_part(fence, job, part)
+            if unstarted is None:
                 continue
             del fence.parts[submission]
-            if left:
-                again.append((job, left))
+            if unstarted:
+                to_place.append((job, unstarted))
         if not fence.parts:
             self._fences.remove(fence)
-        return again
+        return to_place
 
     def _settle_part(
         self, fence: Fence, job: _front_jobs.FrontJob, part: _front_jobs.Part
     ) -> tuple[int, ...] | None:
-        """Account for one part once every agent has reported.
+        """Resolve a part after every agent has reported.
 
-        :return: the job's tasks that never started; none if some still
-            run
+        :return: indices of the job's tasks that never started; ``None``
+            while tasks of the part still run
         """
         finished = fence.finished.get(part.submission, {})
         running = fence.running.get(part.submission, {})
@@ -215,16 +230,16 @@
                 True,
             )
             return ()
-        for place, index in enumerate(part.indices):
-            if place in finished:
-                job.results[index] = finished[place].body
+        for position, index in enumerate(part.indices):
+            if position in finished:
+                job.results[index] = finished[position].body
         if running:
             return None
         self._table.drop_part(part.submission)
         unstarted = tuple(
             index
-            for place, index in enumerate(part.indices)
-            if place not in finished
+            for position, index in enumerate(part.indices)
+            if position not in finished
         )
         if unstarted and job.request.ticket:
             self._fail(
@@ -239,8 +254,8 @@
             self._complete_if_whole(job)
         return unstarted
 
-    def _give_up(self, fence: Fence, peer: str) -> None:
-        """Fail what can't be accounted for: silence is no proof."""
+    def _fail_unresolved(self, fence: Fence, peer: str) -> None:
+        """Fail the unresolved jobs of a fence, as their tasks may have run."""
         for submission in fence.parts:
             job = self._table.by_part.get(submission)
             if job is not None:
@@ -254,7 +269,7 @@
         self._fences.remove(fence)
 
     def sweep(self, now: float) -> None:
-        """Give up fences on which agents did not report in time."""
+        """Fail the jobs of fences that have waited too long for reports."""
         for fence in list(self._fences):
-            if fence.missing and now - fence.started_at > _FENCE_S:
-                self._give_up(fence, next(iter(sorted(fence.missing))))
+            if fence.missing and now - fence.started_at > _REPORT_TIMEOUT_S:
+                self._fail_unresolved(fence, next(iter(sorted(fence.missing))))
--- a/src/ferryledge/core/_task_ends.py
+++ b/src/ferryledge/core/_task_ends.py
@@ -1,4 +1,4 @@
-"""What the ends and releases of tasks mean for their jobs."""
+"""Handles agents' reports of finished and released tasks."""
 
 from ferryledge.core import _answering
 from ferryledge.core import _jobs
@@ -10,18 +10,18 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Seconds for which an endpoint that said it is full is left alone.
-_BLOCK_S = 0.05
-#: Most releases of one task before its job is given up.
-_MAX_RELEASES = 400
+#: Seconds without new tasks for an endpoint that was full or unreachable.
+_BLOCKED_S = 0.05
+#: A job fails after this many releases per task.
+_MAX_RELEASES_PER_TASK = 400
 
 
 class TaskEnds:
-    """Unbinds tasks and goes on with their jobs.
+    """Unbinds tasks and updates their jobs.
 
-    :param state: the pool
-    :param answering: ends jobs
-    :param ticketing: goes on with jobs that an arbiter did not run whole
+    :param state: the state of the pool
+    :param answering: completes and fails jobs
+    :param ticketing: continues jobs that an arbiter ran only in part
     """
 
     def __init__(
@@ -33,25 +33,25 @@
         self._state = state
         self._answering = answering
         self._ticketing = ticketing
-        self._handed_back: list[_jobs.HandedBack] = []
+        self._returned: list[_jobs.HandedBack] = []
 
     def take_handed_back(self) -> list[_jobs.HandedBack]:
-        """Return the tasks that other schedulers shall place."""
-        handed_back = self._handed_back
-        self._handed_back = []
-        return handed_back
+        """Remove and return the tasks for other schedulers to place."""
+        returned = self._returned
+        self._returned = []
+        return returned
 
     def on_finished(
         self, now: float, agent: str, message: wire.TasksFinished
     ) -> None:
-        """Take in the ends of tasks."""
+        """Record finished tasks, and answer their job if it is done."""
         job = self._state.jobs.get(message.submission)
         failed: wire.FinishedTask | None = None
         for task in message.tasks:
             binding = self._unbind(now, agent, task.seq)
             if binding is None or binding.submission != message.submission:
                 continue
-            self._learn(now, agent, binding, task)
+            self._record_run(now, agent, binding, task)
             if job is None or task.seq not in job.bound:
                 continue
             del job.bound[task.seq]
@@ -98,7 +98,7 @@
                 self._state.quotas.release(job.message.workspace, 1)
         return binding
 
-    def _learn(
+    def _record_run(
         self,
         now: float,
         agent: str,
@@ -109,13 +109,13 @@
         job = self._state.jobs.get(binding.submission)
         if row is None or job is None:
             return
-        self._judge_end(now, row, binding.submission, task.ok)
+        self._record_health(now, row, binding.submission, task.ok)
         if task.ok:
             self._state.run_times.learn(
                 job.message.service, agent, task.run_s, binding.declared_s
             )
 
-    def _judge_end(
+    def _record_health(
         self,
         now: float,
         row: placement.EndpointRow,
@@ -136,7 +136,7 @@
     def on_released(
         self, now: float, agent: str, message: wire.TasksReleased
     ) -> None:
-        """Let released tasks wait again, or end their job."""
+        """Requeue released tasks, or end their job."""
         job = self._state.jobs.get(message.submission)
         row = self._state.table.find(agent)
         moved: list[int] = []
@@ -148,7 +148,7 @@
             job.releases += 1
             if job.ticket_use is _jobs.TicketUse.AT_ARBITER:
                 job.waiting.tasks.append(binding.index)
-            elif self._hands_back(job, message.reason):
+            elif self._should_return(job, message.reason):
                 job.moved.add(binding.index)
                 moved.append(binding.index)
             else:
@@ -162,33 +162,40 @@
                 f"{message.reason}",
             )
         if job is not None and moved:
-            self._move(now, job, tuple(moved))
+            self._return_tasks(now, job, tuple(moved))
         if row is not None:
             self._note_busy(now, agent, message.busy)
-            self._after_release(now, row, message)
+            self._update_endpoint(now, row, message)
         if job is not None and job.submission in self._state.jobs:
-            self._after_job_release(now, job, message.reason)
+            self._update_job(now, job, message.reason)
 
-    def _hands_back(self, job: _jobs.Job, reason: wire.ReleaseReason) -> bool:
-        """Return whether a released task goes to the pool's scheduler.
+    def _should_return(
+        self, job: _jobs.Job, reason: wire.ReleaseReason
+    ) -> bool:
+        """Return whether a released task goes back to this entry's front.
 
-        Another scheduler fills the endpoints, so the task had better wait
-        where it can see the whole pool.
+        If an endpoint is busy and another entry owns the pool, that entry
+        fills the endpoints. Its scheduler can place the task anywhere in the
+        pool.
         """
-        busy = reason is wire.ReleaseReason.BUSY
-        plain = not job.front and job.ticket_use is _jobs.TicketUse.NONE
-        return busy and plain and not self._state.owns_pool
+        is_busy = reason is wire.ReleaseReason.BUSY
+        is_local_without_ticket = (
+            not job.front and job.ticket_use is _jobs.TicketUse.NONE
+        )
+        return (
+            is_busy and is_local_without_ticket and not self._state.owns_pool
+        )
 
-    def _move(
+    def _return_tasks(
         self, now: float, job: _jobs.Job, indices: tuple[int, ...]
     ) -> None:
-        self._handed_back.append(_jobs.HandedBack(job.submission, indices))
+        self._returned.append(_jobs.HandedBack(job.submission, indices))
         if not job.size:
             self._answering.forget(job)
         elif len(job.results) == job.size:
             self._answering.complete(now, job)
 
-    def _after_release(
+    def _update_endpoint(
         self,
         now: float,
         row: placement.EndpointRow,
@@ -199,19 +206,19 @@
             case wire.ReleaseReason.LEAVING:
                 row.leaving = True
             case wire.ReleaseReason.BUSY:
-                row.blocked_until = now + _BLOCK_S
+                row.blocked_until = now + _BLOCKED_S
             case wire.ReleaseReason.UNREACHABLE:
-                row.blocked_until = now + _BLOCK_S
-                self._judge_end(now, row, message.submission, ok=False)
+                row.blocked_until = now + _BLOCKED_S
+                self._record_health(now, row, message.submission, ok=False)
             case _:
                 pass
         self._state.table.refresh(row)
 
-    def _after_job_release(
+    def _update_job(
         self, now: float, job: _jobs.Job, reason: wire.ReleaseReason
     ) -> None:
-        fenced = reason is wire.ReleaseReason.FENCED
-        if fenced or job.releases > _MAX_RELEASES * job.size:
+        is_fenced = reason is wire.ReleaseReason.FENCED
+        if is_fenced or job.releases > _MAX_RELEASES_PER_TASK * job.size:
             self._answering.fail(
                 now, job, outcomes.Reason.CAPACITY, outcomes.Step.START
             )
