--- a/src/ferryledge/core/_jobs.py
+++ b/src/ferryledge/core/_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs that a scheduler holds."""
+"""Jobs of a scheduler, and the results it passes to its own front."""
 
 import dataclasses
 import enum
@@ -10,53 +10,57 @@
 
 
 class TicketUse(enum.Enum):
-    """How far a job's ticket is used."""
+    """State of a job's ticket."""
 
     #: The job has no ticket.
     NONE = "none"
-    #: The whole job was sent to the agent that minted the ticket.
+    #: All tasks were sent to the agent that issued the ticket.
     AT_ARBITER = "at_arbiter"
-    #: The minting agent was asked and has not answered.
+    #: The issuing agent was asked for permission; no answer yet.
     ASKED = "asked"
-    #: The minting agent let the job run anywhere.
+    #: The issuing agent allowed the job to run on any endpoint.
     GRANTED = "granted"
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """A job that this scheduler holds."""
+    """A job that is not answered yet."""
 
     submission: str
-    #: Name of the front that waits for the answer; empty is this entry.
+    #: Front that waits for the answer; empty for this entry.
     front: str
     message: wire.PlaceJob
     service: configlog.Service
+    #: Monotonic seconds at which the job was admitted.
     arrived_at: float
     waiting: placement.WaitingJob
+    #: Zones in which the job may run; ``None`` for all.
     zones: frozenset[str] | None
     config_version: int
+    #: Results of finished tasks, by index.
     results: dict[int, bytes] = dataclasses.field(default_factory=dict)
-    #: Sequence numbers of bound tasks, with their endpoints.
+    #: Endpoints of bound tasks, by sequence number.
     bound: dict[int, str] = dataclasses.field(default_factory=dict)
+    #: Number of times that agents released a task of the job.
     releases: int = 0
-    #: Indices of tasks that were handed back to this entry's front.
+    #: Indices of tasks that were returned to this entry's front.
     moved: set[int] = dataclasses.field(default_factory=set)
     ticket_use: TicketUse = TicketUse.NONE
 
     @property
     def size(self) -> int:
-        """The number of tasks that are to run from here."""
+        """Number of tasks that this scheduler must run."""
         return len(self.message.tasks) - len(self.moved)
 
     @property
     def deadline_at(self) -> float:
-        """When the client no longer needs it."""
+        """Monotonic seconds of the deadline; infinite if there is none."""
         if not self.message.deadline_s:
             return float("inf")
         return self.arrived_at + self.message.deadline_s
 
     def task_tags(self) -> tuple[str, ...]:
-        """Return what may be said of each task when the job fails."""
+        """Return the state of each task for the answer of a failed job."""
         unstarted = set(self.waiting.tasks)
         tags = []
         for index in range(len(self.message.tasks)):
@@ -71,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LocalAnswer:
-    """An answer for a job of this entry's own clients."""
+    """Answer to a job whose front is this entry."""
 
     submission: str
     answer: _requests.JobAnswer
@@ -79,8 +83,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandedBack:
-    """Tasks that never started here, for another scheduler."""
+    """Tasks that never started, to be placed by another scheduler."""
 
     submission: str
-    #: Their indices in the submission.
+    #: Indices of the tasks in the submission.
     indices: tuple[int, ...]
--- a/src/ferryledge/core/_reach.py
+++ b/src/ferryledge/core/_reach.py
@@ -1,8 +1,9 @@
-"""Which agents a scheduler may have used for this front's jobs.
+"""Agents that a scheduler may have used for this front's jobs.
 
-The front tells each scheduler the agents that it can reach itself. Should
-the scheduler be lost, the front asks all that were told since the job was
-handed over: an agent that was taken off the list may still have been used.
+The front sends each scheduler the list of agents that the front can reach. If
+the scheduler is lost, the front queries every agent that was on the list since
+the job was submitted to it, because an agent that was removed from the list
+may still hold tasks.
 """
 
 import dataclasses
@@ -10,43 +11,51 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Group:
-    """Agents, as process keys, that may hold a scheduler's tasks.
+    """Agents that may hold a scheduler's tasks.
 
-    Parts share a group; it grows while parts refer to it.
+    Parts share a group. Agents are added to it while parts refer to it, and
+    never removed.
     """
 
+    #: Process keys of the agents.
     agents: set[str]
 
 
 class Reach:
-    """The groups of one scheduler."""
+    """Groups of agents that one scheduler may have used."""
 
     def __init__(self) -> None:
         self._groups: list[Group] = []
-        self._told: frozenset[str] | None = None
+        self._sent_agents: frozenset[str] | None = None
 
     @property
     def group(self) -> Group:
-        """The group for parts that are handed over now."""
+        """The group for parts that are sent to the scheduler now."""
         return self._groups[-1]
 
     def tell(self, agents: frozenset[str]) -> bool:
-        """Note the agents that can be reached now.
+        """Record the agents that the front can reach now.
 
-        :return: whether the scheduler must be told
+        :param agents: their process keys
+        :return: whether the list changed and must be sent to the scheduler
         """
-        if agents == self._told:
+        if agents == self._sent_agents:
             return False
-        shrunk = self._told is None or not self._told <= agents
+        needs_new_group = (
+            self._sent_agents is None or not self._sent_agents <= agents
+        )
         for group in self._groups:
             group.agents.update(agents)
-        if shrunk:
+        if needs_new_group:
             self._groups.append(Group(set(agents)))
-        self._told = agents
+        self._sent_agents = agents
         return True
 
     def keep_only(self, used: list[Group]) -> None:
-        """Drop the groups that no part refers to, but the newest."""
+        """Drop the groups that no part refers to, except the newest.
+
+        :param used: the groups that parts refer to
+        """
         self._groups = [
             group
             for group in self._groups
--- a/src/ferryledge/core/_routing.py
+++ b/src/ferryledge/core/_routing.py
@@ -1,4 +1,4 @@
-"""Which entry schedules a job, and which endpoints fall to this entry."""
+"""Assigns jobs and endpoints to entries."""
 
 import random
 
@@ -10,18 +10,19 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Added to the load up to which a job of one task is placed directly.
+#: Added to the load limit for local placement, divided by the number of tasks
+#: of the job.
 _SMALL_JOB_BONUS = 0.4
 
 
 class Routing:
-    """Spreads pools and endpoints over the entries that are up.
+    """Distributes pools and endpoints over the connected entries.
 
     :param identity: this process
-    :param options: how to decide
+    :param options: limits and timeouts
     :param peers: the connected peers
-    :param scheduler: this entry's own
-    :param rng: source of all randomness
+    :param scheduler: the scheduler of this entry
+    :param rng: random number generator for all random choices
     """
 
     def __init__(
@@ -37,61 +38,66 @@
         self._peers = peers
         self._scheduler = scheduler
         self._rng = rng
-        #: Whether this entry takes no new jobs.
+        #: Whether this entry is draining and accepts no new jobs.
         self.draining = False
 
     def places_itself(self, scheduler: _peers.Peer, tasks: int) -> bool:
-        """Return whether to place a job here, as the pool has much room.
+        """Return whether to place a job locally while load is low.
 
-        That saves the way to the scheduler. Each entry then uses the
-        endpoints that fall to it, so that entries rarely meet.
+        Local placement saves a round trip to the scheduler. Each entry uses
+        the endpoints assigned to it, so entries rarely compete for a slot.
+
+        :param scheduler: the entry that would schedule the job
+        :param tasks: number of tasks of the job
         """
-        limit = self._options.direct_load
-        if limit:
-            # The way to the scheduler weighs most on the smallest jobs.
-            limit += _SMALL_JOB_BONUS / tasks
-        if scheduler.load >= limit:
+        max_load = self._options.direct_load
+        if max_load:
+            # The round trip costs the smallest jobs the most.
+            max_load += _SMALL_JOB_BONUS / tasks
+        if scheduler.load >= max_load:
             return False
         if self.draining:
             return False
         return self._scheduler.can_place(tasks, self._options.direct_margin)
 
     def share_endpoints(self) -> None:
-        """Work out which endpoints fall to this entry."""
+        """Compute and set the endpoints assigned to this entry."""
         names = [
             peer.name
             for peer in self._peers.of_role(wire.Role.ENTRY)
             if not peer.leaving
         ]
         names.append(self._identity.name)
-        own = frozenset(
+        own_endpoints = frozenset(
             row.name
             for row in self._scheduler.table
             if placement.rank(row.name, names)[0] == self._identity.name
         )
-        agents = [row.name for row in self._scheduler.table]
-        pools = placement.pool_count(len(agents), self._options.pool_size)
-        mine = {
+        endpoint_names = [row.name for row in self._scheduler.table]
+        pools = placement.pool_count(
+            len(endpoint_names), self._options.pool_size
+        )
+        own_pools = {
             pool for pool in range(pools) if self._scheduler_of(pool) is None
         }
-        endpoints = None
-        if 0 < len(mine) < pools:
-            endpoints = frozenset(
+        pool_endpoints = None
+        if 0 < len(own_pools) < pools:
+            pool_endpoints = frozenset(
                 name
-                for name in agents
-                if placement.pool_of(name, pools) in mine
+                for name in endpoint_names
+                if placement.pool_of(name, pools) in own_pools
             )
-        self._scheduler.share(own, bool(mine), endpoints)
+        self._scheduler.share(own_endpoints, bool(own_pools), pool_endpoints)
 
     def choose_scheduler(
         self, request: _requests.JobRequest
     ) -> _peers.Peer | None:
-        """Return the entry that schedules a job; none is this one."""
+        """Return the entry that schedules a job; ``None`` for this entry."""
         agents = self._peers.of_role(wire.Role.AGENT)
         pools = placement.pool_count(len(agents), self._options.pool_size)
         if request.ticket:
-            minter = ledger.issuer_of(request.ticket)
-            pool = placement.pool_of(minter, pools)
+            issuer = ledger.issuer_of(request.ticket)
+            pool = placement.pool_of(issuer, pools)
         else:
             pool = self._choose_pool(pools)
         return self._scheduler_of(pool)
@@ -117,5 +123,5 @@
             names.append(self._identity.name)
         if not names:
             return None
-        best = placement.rank(f"pool-{pool}", names)[0]
-        return entries.get(best)
+        scheduler_name = placement.rank(f"pool-{pool}", names)[0]
+        return entries.get(scheduler_name)
--- a/src/ferryledge/core/_trace.py
+++ b/src/ferryledge/core/_trace.py
@@ -1,17 +1,18 @@
-"""What each mechanism decided for recent jobs, in bounded memory."""
+"""Bounded record of the decisions on recent jobs."""
 
 import collections
 from collections import abc
 import dataclasses
 import enum
 
-#: Jobs and notes of one job that are kept.
+#: Number of jobs whose notes are kept.
 _MAX_JOBS = 512
+#: Number of notes that are kept for each job.
 _MAX_NOTES = 64
 
 
 class Mechanism(enum.StrEnum):
-    """What took a decision."""
+    """Component that made a decision."""
 
     FRONT = "front"
     ROUTING = "routing"
@@ -26,11 +27,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Note:
-    """One decision."""
+    """A decision on a job."""
 
-    #: Monotonic seconds of the process that took it.
+    #: Monotonic seconds in the process that made the decision.
     at: float
-    #: A job as ``workspace/request_id``, or a submission.
+    #: The job as ``workspace/request_id``, or the submission.
     job: str
     mechanism: Mechanism
     text: str
@@ -42,7 +43,7 @@
 
 
 class Trace:
-    """Notes on the last jobs; listeners hear each note as it is made."""
+    """Keeps notes on recent jobs and passes each new note to listeners."""
 
     def __init__(self) -> None:
         self._jobs: collections.OrderedDict[str, list[Note]] = (
@@ -55,12 +56,12 @@
     def note(
         self, now: float, job: str, mechanism: Mechanism, text: str
     ) -> None:
-        """Note a decision.
+        """Record a decision.
 
         :param now: monotonic seconds
-        :param job: the job or submission that it is about
-        :param mechanism: what decided
-        :param text: what was seen, decided and sent
+        :param job: the job or submission concerned
+        :param mechanism: the component that decided
+        :param text: the inputs, the decision and the messages sent
         """
         note = Note(now, job, mechanism, text, self.version)
         notes = self._jobs.get(job)
@@ -78,9 +79,10 @@
         return list(self._jobs.get(job, ()))
 
     def listen(self, listener: Listener) -> abc.Callable[[], None]:
-        """Call a listener for each note.
+        """Register a listener that is called with each new note.
 
-        :return: call it to stop listening
+        :param listener: the callback
+        :return: a function that removes the listener
         """
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
