--- a/src/ferryledge/agent/_daemon.py
+++ b/src/ferryledge/agent/_daemon.py
@@ -129,8 +129,8 @@
         loguru.logger.info("agent stopped", step="drain")
 
     def _is_busy(self) -> bool:
-        arbitrating = bool(self._core.arbitrating)
-        return arbitrating or not self._core.idle or bool(self._calls)
+        tickets_in_use = bool(self._core.tickets_in_use)
+        return tickets_in_use or not self._core.idle or bool(self._calls)
 
     def _perform(self, action: core.Action) -> None:
         match action:
--- a/src/ferryledge/bench/_ablations.py
+++ b/src/ferryledge/bench/_ablations.py
@@ -43,7 +43,7 @@
         case Ablation.DIRECT:
             return dataclasses.replace(usual, direct_load=0.0)
         case Ablation.FOREIGN:
-            return dataclasses.replace(usual, foreign_s=0.0)
+            return dataclasses.replace(usual, foreign_slots_hold_s=0.0)
         case _:
             return usual
 
--- a/src/ferryledge/core/_admission.py
+++ b/src/ferryledge/core/_admission.py
@@ -113,7 +113,7 @@
         if not any(row.usable for row in self._state.table):
             return self.refuse(
                 outcomes.Reason.NO_ENDPOINT,
-                self._state.spread(0.5),
+                self._state.jittered_delay(0.5),
                 "no endpoint is connected",
             )
         cordoned = False
@@ -128,7 +128,7 @@
         if cordoned:
             return self.refuse(
                 outcomes.Reason.NO_ENDPOINT,
-                self._state.spread(0.5),
+                self._state.jittered_delay(0.5),
                 "the allowed availability zones are cordoned",
             )
         return self.refuse(
@@ -161,7 +161,9 @@
         )
         match verdict:
             case limits.Refuse(reason, retry_after_s):
-                return self.refuse(reason, self._state.spread(retry_after_s))
+                return self.refuse(
+                    reason, self._state.jittered_delay(retry_after_s)
+                )
             case limits.Admit():
                 return None
 
--- a/src/ferryledge/core/_agent.py
+++ b/src/ferryledge/core/_agent.py
@@ -87,7 +87,7 @@
         return not self._starts.running and not self._batches
 
     @property
-    def arbitrating(self) -> int:
+    def tickets_in_use(self) -> int:
         """Number of submissions that run under this agent's tickets."""
         return self._arbiter.in_progress
 
--- a/src/ferryledge/core/_answering.py
+++ b/src/ferryledge/core/_answering.py
@@ -20,7 +20,7 @@
         self._state = state
         self._answers: list[_jobs.LocalAnswer] = []
 
-    def take_answers(self) -> list[_jobs.LocalAnswer]:
+    def pop_answers(self) -> list[_jobs.LocalAnswer]:
         """Return and remove the queued answers to this entry's own jobs."""
         answers = self._answers
         self._answers = []
@@ -59,7 +59,7 @@
         outcome: outcomes.JobOutcome
         # Until the ticket is granted, an earlier submission may have used it.
         may_have_run = bool(job.message.ticket) and (
-            job.ticket_use in (_jobs.TicketUse.NONE, _jobs.TicketUse.ASKED)
+            job.ticket_use in (_jobs.TicketUse.NONE, _jobs.TicketUse.PENDING)
         )
         if may_have_run or any(tag != "failed_not_run" for tag in tags):
             outcome = outcomes.FailedMayHaveRun(reason, origin, detail)
--- a/src/ferryledge/core/_convert.py
+++ b/src/ferryledge/core/_convert.py
@@ -80,7 +80,7 @@
     )
 
 
-def answer_of(record: wire.OutcomeRecord) -> _requests.JobAnswer:
+def job_answer(record: wire.OutcomeRecord) -> _requests.JobAnswer:
     """Return the answer that a record holds.
 
     :param record: the wire form of the answer
--- a/src/ferryledge/core/_endpoints.py
+++ b/src/ferryledge/core/_endpoints.py
@@ -78,7 +78,7 @@
     def _reconcile(self, now: float, row: placement.EndpointRow) -> None:
         """Repeat pending requests and ask the agent about bound tasks."""
         for job in list(self._state.jobs.values()):
-            is_pending = job.ticket_use is _jobs.TicketUse.ASKED
+            is_pending = job.ticket_use is _jobs.TicketUse.PENDING
             if is_pending and ledger.issuer_of(job.message.ticket) == row.name:
                 self._ticketing.authorise(now, job, row)
         if not row.bound:
@@ -94,7 +94,7 @@
         """Remove a lost endpoint and fail the jobs that depend on it."""
         submissions = {binding.submission for binding in row.bound.values()}
         for job in self._state.jobs.values():
-            is_pending = job.ticket_use is _jobs.TicketUse.ASKED
+            is_pending = job.ticket_use is _jobs.TicketUse.PENDING
             if is_pending and ledger.issuer_of(job.message.ticket) == row.name:
                 submissions.add(job.submission)
         self._state.table.drop(row.name)
--- a/src/ferryledge/core/_entry.py
+++ b/src/ferryledge/core/_entry.py
@@ -14,7 +14,7 @@
 from ferryledge.core import _front_jobs
 from ferryledge.core import _options
 from ferryledge.core import _peers
-from ferryledge.core import _reach
+from ferryledge.core import _reachable_agents
 from ferryledge.core import _requests
 from ferryledge.core import _routing
 from ferryledge.core import _rulebook
@@ -61,9 +61,11 @@
         )
         self._rulebook = _rulebook.Rulebook(configlog.EMPTY_SNAPSHOT)
         #: The agents reported to each scheduler, by its name.
-        self._reach_by_scheduler: dict[str, _reach.Reach] = {}
+        self._reach_by_scheduler: dict[
+            str, _reachable_agents.ReachableAgents
+        ] = {}
         #: Empty group for the parts that this entry schedules itself.
-        self._own_group = _reach.Group(set())
+        self._own_group = _reachable_agents.Group(set())
         self._reachable_cache: frozenset[str] | None = None
         self._leaving_vms: frozenset[str] = frozenset()
         self._draining = False
@@ -157,11 +159,11 @@
         if now >= self._next_sweep:
             self._sweep(now)
         self._scheduler.run_systems(now)
-        for moved in self._scheduler.task_ends.take_handed_back():
+        for moved in self._scheduler.task_ends.take_returned():
             removed = self._front.take_back(moved.submission, moved.indices)
             if removed is not None:
                 self._assign_tasks(now, *removed, direct=False)
-        for answered in self._scheduler.answering.take_answers():
+        for answered in self._scheduler.answering.pop_answers():
             self._front.on_answer(answered.submission, "", answered.answer)
         self._peers.send_keepalives(
             now,
@@ -208,7 +210,11 @@
         peer = self._routing.choose_scheduler(job.request)
         has_quota = self._rulebook.has_quota(job.request.workspace)
         direct = direct and not has_quota
-        if direct and peer and self._routing.places_itself(peer, len(indices)):
+        if (
+            direct
+            and peer
+            and self._routing.should_place_locally(peer, len(indices))
+        ):
             peer = None
         group = self._own_group
         if peer is not None:
@@ -286,14 +292,18 @@
         self._front.recovery.scheduler_lost(now, peer.name, peer.incarnation)
         self._reach_by_scheduler.pop(peer.name, None)
 
-    def _send_agent_set(self, now: float, peer: _peers.Peer) -> _reach.Group:
+    def _send_agent_set(
+        self, now: float, peer: _peers.Peer
+    ) -> _reachable_agents.Group:
         """Send a scheduler the agents that this entry can reach, if changed.
 
         :return: the group of agents for parts assigned to it from now on
         """
-        reach = self._reach_by_scheduler.setdefault(peer.name, _reach.Reach())
+        reach = self._reach_by_scheduler.setdefault(
+            peer.name, _reachable_agents.ReachableAgents()
+        )
         agents = self._reachable()
-        if reach.tell(agents):
+        if reach.update(agents):
             reach.keep_only(self._front.groups_at(peer.name))
             message = wire.AgentSet(tuple(sorted(agents)))
             self._peers.send(now, peer.name, message)
@@ -326,7 +336,7 @@
         peer = self._peers.find(name)
         if peer is None:
             return
-        peer.last_heard = now
+        peer.last_received = now
         if peer.is_suspect:
             peer.is_suspect = False
             self._routing.share_endpoints()
@@ -374,7 +384,7 @@
             case wire.JobAnswered(submission, record, waiting, load):
                 peer.waiting = waiting
                 peer.load = load
-                answer = _convert.answer_of(record)
+                answer = _convert.job_answer(record)
                 self._front.on_answer(submission, name, answer)
             case wire.CancelJob(submission):
                 self._scheduler.cancel(now, name, submission)
@@ -459,7 +469,7 @@
         """Recover the tasks of a scheduler that was silent for too long."""
         if not peer.busy or not self._front.outstanding(peer.name):
             return
-        if now - peer.last_heard <= self._options.silence_s:
+        if now - peer.last_received <= self._options.silence_s:
             return
         peer.is_suspect = True
         abandon = wire.AbandonJobs(self._front.last_number)
--- a/src/ferryledge/core/_front.py
+++ b/src/ferryledge/core/_front.py
@@ -14,7 +14,7 @@
 from ferryledge.core import _front_jobs
 from ferryledge.core import _options
 from ferryledge.core import _peers
-from ferryledge.core import _reach
+from ferryledge.core import _reachable_agents
 from ferryledge.core import _recovery
 from ferryledge.core import _requests
 from ferryledge.core import _rulebook
@@ -56,7 +56,7 @@
         self._rulebook: _rulebook.Rulebook | None = None
         self._table = _front_jobs.JobTable()
         self._recovery = _recovery.Recovery(
-            self._table, peers, trace, self.fail, self.complete_if_whole
+            self._table, peers, trace, self.fail, self.complete_if_finished
         )
         self._answered: collections.OrderedDict[
             tuple[str, str], _requests.JobAnswer
@@ -75,7 +75,7 @@
         return len(self._tickets)
 
     @property
-    def last_number(self) -> int:
+    def counter(self) -> int:
         """Number of the most recent submission."""
         return self._table.counter
 
@@ -209,7 +209,7 @@
         job: _front_jobs.FrontJob,
         scheduler: _peers.Peer | None,
         indices: tuple[int, ...],
-        group: _reach.Group,
+        group: _reachable_agents.Group,
     ) -> wire.PlaceJob:
         """Add a part to a job and return the message for its scheduler.
 
@@ -362,9 +362,9 @@
     ) -> None:
         self._table.drop_part(part.submission)
         job.results.update(zip(part.remaining(), results, strict=True))
-        self.complete_if_whole(job)
+        self.complete_if_finished(job)
 
-    def complete_if_whole(self, job: _front_jobs.FrontJob) -> None:
+    def complete_if_finished(self, job: _front_jobs.FrontJob) -> None:
         """Answer a job if the results of all its tasks are present."""
         size = len(job.request.tasks)
         if len(job.results) != size:
@@ -433,7 +433,7 @@
         """Recovers the tasks of lost schedulers."""
         return self._recovery
 
-    def groups_at(self, scheduler: str) -> list[_reach.Group]:
+    def groups_at(self, scheduler: str) -> list[_reachable_agents.Group]:
         """Return the agent group of each part that a scheduler holds."""
         return [part.group for part in self._table.parts_at(scheduler)]
 
--- a/src/ferryledge/core/_front_jobs.py
+++ b/src/ferryledge/core/_front_jobs.py
@@ -3,7 +3,7 @@
 import dataclasses
 import hashlib
 
-from ferryledge.core import _reach
+from ferryledge.core import _reachable_agents
 from ferryledge.core import _requests
 
 #: Seconds past its deadline at which an unanswered job fails.
@@ -21,7 +21,7 @@
     #: Indices in the job of the part's tasks.
     indices: tuple[int, ...]
     #: The agents that the scheduler may use.
-    group: _reach.Group
+    group: _reachable_agents.Group
     #: Positions in ``indices`` of tasks that were removed from the part.
     removed: set[int] = dataclasses.field(default_factory=set)
 
--- a/src/ferryledge/core/_jobs.py
+++ b/src/ferryledge/core/_jobs.py
@@ -17,7 +17,7 @@
     #: All tasks were sent to the agent that issued the ticket.
     AT_ARBITER = "at_arbiter"
     #: The issuing agent was asked for permission; no answer yet.
-    ASKED = "asked"
+    PENDING = "asked"
     #: The issuing agent allowed the job to run on any endpoint.
     GRANTED = "granted"
 
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandedBack:
+class ReturnedTasks:
     """Tasks that never started, to be placed by another scheduler."""
 
     submission: str
--- a/src/ferryledge/core/_monitoring.py
+++ b/src/ferryledge/core/_monitoring.py
@@ -71,7 +71,7 @@
         silent = (
             peer is not None
             and bool(row.bound)
-            and now - peer.last_heard > self._state.options.silence_s
+            and now - peer.last_received > self._state.options.silence_s
         )
         is_suspect = silent or self._is_overdue(now, row)
         if is_suspect != row.is_suspect:
--- a/src/ferryledge/core/_options.py
+++ b/src/ferryledge/core/_options.py
@@ -62,7 +62,7 @@
     direct_margin: float = 0.2
     #: Seconds for which slots are counted as used by other schedulers after
     #: the endpoint's agent last reported so.
-    foreign_s: float = 0.3
+    foreign_slots_hold_s: float = 0.3
     #: Seconds that a peer has to reconnect after its stream breaks.
     reconnect_grace_s: float = 2.0
     #: Seconds without a message, with work outstanding, before a peer is
--- a/src/ferryledge/core/_peers.py
+++ b/src/ferryledge/core/_peers.py
@@ -20,7 +20,7 @@
     #: It went silent while it held work, and has sent nothing since.
     is_suspect: bool = False
     #: When the last message was received, in monotonic seconds.
-    last_heard: float = 0.0
+    last_received: float = 0.0
     #: When the last message was sent, in monotonic seconds.
     last_sent: float = 0.0
     #: The newest configuration version that it reported.
@@ -70,7 +70,7 @@
         peer = Peer(
             hello,
             leaving=hello.leaving,
-            last_heard=now,
+            last_received=now,
             last_sent=now,
             config_version=hello.config_version,
         )
@@ -132,7 +132,7 @@
     def reset_silence_timers(self, now: float) -> None:
         """Treat all peers as heard from now, after this process was paused."""
         for peer in self._rows.values():
-            peer.last_heard = now
+            peer.last_received = now
 
     def _keepalive_interval(self, peer: Peer) -> float:
         return self._busy_keepalive_s if peer.busy else self._keepalive_s
--- a/src/ferryledge/core/_pool_state.py
+++ b/src/ferryledge/core/_pool_state.py
@@ -73,7 +73,7 @@
         processes = self.agent_sets.get(job.front)
         return processes is None or row.process in processes
 
-    def spread(self, base_s: float) -> float:
+    def jittered_delay(self, base_s: float) -> float:
         """Return a retry delay with jitter, up to the configured maximum.
 
         :param base_s: the delay before jitter, in seconds
@@ -85,4 +85,6 @@
     def drain_s(self) -> float:
         """Return a retry delay based on the time to drain the queue."""
         slots = max(1, self.table.slots)
-        return self.spread(max(_MIN_RETRY_DELAY_S, self.queue.work_s / slots))
+        return self.jittered_delay(
+            max(_MIN_RETRY_DELAY_S, self.queue.work_s / slots)
+        )
--- a/src/ferryledge/core/_reach.py
+++ b/src/ferryledge/core/_reachable_agents.py
@@ -21,7 +21,7 @@
     agents: set[str]
 
 
-class Reach:
+class ReachableAgents:
     """Groups of agents that one scheduler may have used."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         """The group for parts that are sent to the scheduler now."""
         return self._groups[-1]
 
-    def tell(self, agents: frozenset[str]) -> bool:
+    def update(self, agents: frozenset[str]) -> bool:
         """Record the agents that the front can reach now.
 
         :param agents: their process keys
--- a/src/ferryledge/core/_recovery.py
+++ b/src/ferryledge/core/_recovery.py
@@ -63,7 +63,7 @@
     :param peers: sends messages to other processes
     :param trace: records decisions
     :param fail: answers a job as failed
-    :param complete_if_whole: answers a job if it has all its results
+    :param complete_if_finished: answers a job if it has all its results
     """
 
     def __init__(
@@ -72,13 +72,13 @@
         peers: _peers.Peers,
         trace: _trace.Trace,
         fail: Fail,
-        complete_if_whole: abc.Callable[[_front_jobs.FrontJob], None],
+        complete_if_finished: abc.Callable[[_front_jobs.FrontJob], None],
     ) -> None:
         self._table = table
         self._peers = peers
         self._trace = trace
         self._fail = fail
-        self._complete_if_whole = complete_if_whole
+        self._complete_if_finished = complete_if_finished
         self._fences: list[Fence] = []
 
     def scheduler_lost(self, now: float, name: str, incarnation: str) -> None:
@@ -101,7 +101,14 @@
             # Ignores later answers of the lost scheduler.
             part.scheduler = f"{name} (lost)"
         fence = Fence(
-            incarnation, name, self._table.counter, agents, now, parts, {}, {}
+            incarnation,
+            name,
+            self._table.counter,
+            agents,
+            now,
+            parts,
+            {},
+            {},
         )
         self._fences.append(fence)
         for submission in parts:
@@ -251,7 +258,7 @@
             )
             return ()
         if not unstarted:
-            self._complete_if_whole(job)
+            self._complete_if_finished(job)
         return unstarted
 
     def _fail_unresolved(self, fence: Fence, peer: str) -> None:
--- a/src/ferryledge/core/_routing.py
+++ b/src/ferryledge/core/_routing.py
@@ -41,7 +41,7 @@
         #: Whether this entry is draining and accepts no new jobs.
         self.draining = False
 
-    def places_itself(self, scheduler: _peers.Peer, tasks: int) -> bool:
+    def should_place_locally(self, scheduler: _peers.Peer, tasks: int) -> bool:
         """Return whether to place a job locally while load is low.
 
         Local placement saves a round trip to the scheduler. Each entry uses
--- a/src/ferryledge/core/_task_ends.py
+++ b/src/ferryledge/core/_task_ends.py
@@ -33,9 +33,9 @@
         self._state = state
         self._answering = answering
         self._ticketing = ticketing
-        self._returned: list[_jobs.HandedBack] = []
+        self._returned: list[_jobs.ReturnedTasks] = []
 
-    def take_handed_back(self) -> list[_jobs.HandedBack]:
+    def take_returned(self) -> list[_jobs.ReturnedTasks]:
         """Remove and return the tasks for other schedulers to place."""
         returned = self._returned
         self._returned = []
@@ -79,7 +79,7 @@
     def _note_busy(self, now: float, agent: str, busy: int) -> None:
         row = self._state.table.find(agent)
         if row is not None:
-            until = now + self._state.options.foreign_s
+            until = now + self._state.options.foreign_slots_hold_s
             self._state.table.note_busy(row, busy, until)
 
     def _unbind(
@@ -189,7 +189,7 @@
     def _return_tasks(
         self, now: float, job: _jobs.Job, indices: tuple[int, ...]
     ) -> None:
-        self._returned.append(_jobs.HandedBack(job.submission, indices))
+        self._returned.append(_jobs.ReturnedTasks(job.submission, indices))
         if not job.size:
             self._answering.forget(job)
         elif len(job.results) == job.size:
--- a/src/ferryledge/core/_ticketing.py
+++ b/src/ferryledge/core/_ticketing.py
@@ -75,7 +75,7 @@
         self, now: float, job: _jobs.Job, arbiter: placement.EndpointRow
     ) -> None:
         """Request authorisation of a job from its ticket's arbiter."""
-        job.ticket_use = _jobs.TicketUse.ASKED
+        job.ticket_use = _jobs.TicketUse.PENDING
         message = wire.Authorise(
             job.message.ticket, job.submission, job.message.label
         )
@@ -106,11 +106,11 @@
         )
         match message.verdict:
             case wire.VerdictTag.GRANTED:
-                if job.ticket_use is _jobs.TicketUse.ASKED:
+                if job.ticket_use is _jobs.TicketUse.PENDING:
                     job.ticket_use = _jobs.TicketUse.GRANTED
                     self._state.queue.add(job.waiting)
             case wire.VerdictTag.SETTLED if message.outcome is not None:
-                answer = _convert.answer_of(message.outcome)
+                answer = _convert.job_answer(message.outcome)
                 self._answering.finish(now, job, answer)
             case wire.VerdictTag.IN_PROGRESS:
                 answer = _requests.JobAnswer(outcomes.InProgress(0.5))
--- a/src/ferryledge/entry/_status.py
+++ b/src/ferryledge/entry/_status.py
@@ -128,7 +128,7 @@
                 "zone": peer.hello.zone,
                 "leaving": peer.leaving,
                 "config_version": peer.config_version,
-                "silent_s": round(now - peer.last_heard, 1),
+                "silent_s": round(now - peer.last_received, 1),
             }
             for peer in entry.peers
         ],
