--- a/src/ferryledge/core/_front.py
+++ b/src/ferryledge/core/_front.py
@@ -75,7 +75,7 @@
         return len(self._tickets)
 
     @property
-    def counter(self) -> int:
+    def last_number(self) -> int:
         """Number of the most recent submission."""
         return self._table.counter
 
