--- a/src/ferryledge/agent/_daemon.py
+++ b/src/ferryledge/agent/_daemon.py
@@ -59,7 +59,8 @@
             settings.endpoint_url, settings.connections
         )
         self._metrics = metrics
-        self._started_tasks = 0
+        #: Calls of the endpoint, including those that did not reach it.
+        self._call_count = 0
         self._calls: dict[_TaskKey, anyio.CancelScope] = {}
         self._group: anyio_abc.TaskGroup | None = None
         #: Bound TCP port for peers; 0 until :meth:`run` listens on it.
@@ -150,7 +151,7 @@
         key = (task.owner, task.seq)
         started = anyio.current_time()
         result = _endpoint.TaskResult(False, b"stopped")
-        self._started_tasks += 1
+        self._call_count += 1
         with anyio.CancelScope() as scope:
             self._calls[key] = scope
             result = await self._endpoint.run(task)
@@ -201,7 +202,7 @@
             "zone": hello.zone,
             "slots": hello.slots,
             "running": self._core.running,
-            "started": self._started_tasks,
+            "started": self._call_count,
             "leaving": hello.leaving,
             "config_version": hello.config_version,
         }
@@ -215,7 +216,7 @@
         metrics.gauge(
             "tasks_started",
             "Tasks started since the process began.",
-            lambda: float(self._started_tasks),
+            lambda: float(self._call_count),
         )
         metrics.gauge(
             "streams_refused",
--- a/src/ferryledge/client/__init__.py
+++ b/src/ferryledge/client/__init__.py
@@ -1,4 +1,4 @@
-"""Client that submits jobs and retries them where that is safe."""
+"""Client that submits jobs and retries them where that is useful and safe."""
 
 from ferryledge.client import _client
 from ferryledge.client import _model
--- a/src/ferryledge/client/_client.py
+++ b/src/ferryledge/client/_client.py
@@ -26,7 +26,8 @@
 from ferryledge import runtime
 
 _RETRY_OUTCOMES = frozenset({"refused", "failed_not_run", "in_progress"})
-#: Seconds before a retry if the reply holds no delay.
+#: Shortest time in seconds before a retry if the reply holds no delay; the
+#: client waits up to twice as long, at random.
 _DEFAULT_DELAY_S = 0.05
 _TICKET_LOST = "ticket_lost"
 #: Seconds for which a spare ticket is usable; agents keep it much longer.
@@ -71,7 +72,7 @@
         if not urls:
             raise UnreachableError("at least one entry address is required")
         self._options = options or ClientOptions()
-        self._callers = [
+        self._http_clients = [
             runtime.HttpClient(url, self._options.connections) for url in urls
         ]
         self._start_indexes = itertools.count()
@@ -90,8 +91,8 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        for caller in self._callers:
-            await caller.close()
+        for http_client in self._http_clients:
+            await http_client.close()
 
     async def submit(self, job: _model.Job) -> _model.Reply:
         """Submit a job and wait for its outcome.
@@ -108,8 +109,8 @@
         attempt = 0
         for index in itertools.count(next(self._start_indexes)):
             attempt += 1
-            caller = self._caller(index)
-            reply = await self._attempt(caller, job, request_id, ticket)
+            http_client = self._http_client(index)
+            reply = await self._attempt(http_client, job, request_id, ticket)
             reply = dataclasses.replace(reply, attempts=attempt)
             self._store_spare(reply.spare_ticket)
             if reply.outcome == "ticket_required":
@@ -143,7 +144,7 @@
         :param request_id: the job's request ID
         """
         path = f"/v1/jobs/{workspace}/{request_id}"
-        await self._caller(next(self._start_indexes)).call("DELETE", path)
+        await self._http_client(next(self._start_indexes)).call("DELETE", path)
 
     def _pop_spare(self) -> str:
         now = time.monotonic()
@@ -162,17 +163,17 @@
             return reply.retry_after_s
         return _DEFAULT_DELAY_S * (1.0 + random.random())
 
-    def _caller(self, index: int) -> runtime.HttpClient:
-        """Return the HTTP caller of one entry, in round-robin order.
+    def _http_client(self, index: int) -> runtime.HttpClient:
+        """Return the HTTP client of one entry, in round-robin order.
 
         The attempts of one job use successive indexes, so that every other
         entry is tried before an unavailable one is tried again.
         """
-        return self._callers[index % len(self._callers)]
+        return self._http_clients[index % len(self._http_clients)]
 
     async def _attempt(
         self,
-        caller: runtime.HttpClient,
+        http_client: runtime.HttpClient,
         job: _model.Job,
         request_id: str,
         ticket: str,
@@ -180,7 +181,7 @@
         body = job.to_json(request_id, ticket)
         try:
             with anyio.fail_after(self._options.timeout_s):
-                response = await caller.call("POST", "/v1/jobs", body)
+                response = await http_client.call("POST", "/v1/jobs", body)
             return _model.Reply.parse(response.status, response.content)
         except runtime.ConnectError:
             return _model.Reply(0, "lost", "no", reason="unreachable")
@@ -189,7 +190,7 @@
 
 
 def _may_retry(reply: _model.Reply) -> bool:
-    """Return whether it is safe to send the job again."""
+    """Return whether to send the job again after this reply."""
     if reply.outcome == "lost":
         # An unrepeatable job runs at most once under its ticket, and never
         # without a ticket.
--- a/src/ferryledge/configlog/tests/test_fold.py
+++ b/src/ferryledge/configlog/tests/test_fold.py
@@ -185,7 +185,7 @@
         assert str(exc)
 
 
-#: For each change of a log: a number for its id, and how far its base
+#: For each change of a log: the last part of its id, and how far its base
 #: version is from the current one.
 HISTORIES = st.lists(st.tuples(st.integers(0, 9), st.integers(-1, 1)))
 
@@ -195,9 +195,9 @@
 def test_readers_agree_for_any_page_size(changes, size):
     records = []
     version = 0
-    for number, (name, error) in enumerate(changes):
-        base = max(0, version + error)
-        records.append(change(f"c{number}-{name}", base))
+    for number, (id_suffix, base_error) in enumerate(changes):
+        base = max(0, version + base_error)
+        records.append(change(f"c{number}-{id_suffix}", base))
         version += base == version
     complete, _ = follow(records)
     paged = configlog.Follower()
--- a/src/ferryledge/core/__init__.py
+++ b/src/ferryledge/core/__init__.py
@@ -2,8 +2,8 @@
 
 Three calls drive a core: ``receive(now, event)`` processes one event,
 ``tick(now)``, called after the pending events, returns the actions to carry
-out, and ``wake_at()`` returns the latest time for the next tick. See
-docs/core.
+out, and ``wake_at()`` returns the time by which ``tick`` must be called next.
+See docs/core.
 """
 
 from ferryledge.core import _actions
--- a/src/ferryledge/core/_answering.py
+++ b/src/ferryledge/core/_answering.py
@@ -57,7 +57,8 @@
         origin = outcomes.Origin(step, peer or self._state.identity.name)
         tags = job.task_tags()
         outcome: outcomes.JobOutcome
-        # Until the ticket is granted, an earlier submission may have used it.
+        # Without a verdict on the ticket, an earlier submission may have run
+        # under it.
         may_have_run = bool(job.message.ticket) and (
             job.ticket_use in (_jobs.TicketUse.NONE, _jobs.TicketUse.PENDING)
         )
@@ -67,11 +68,11 @@
             outcome = outcomes.FailedNotRun(
                 reason, origin, self._state.drain_s(), detail
             )
-        self._cancel_running_tasks(now, job)
+        self._cancel_assigned_tasks(now, job)
         self.finish(now, job, _requests.JobAnswer(outcome, tags))
 
-    def _cancel_running_tasks(self, now: float, job: _jobs.Job) -> None:
-        """Cancel the tasks of a job that are still bound to agents."""
+    def _cancel_assigned_tasks(self, now: float, job: _jobs.Job) -> None:
+        """Cancel the tasks of a job that are assigned to agents."""
         seqs_by_agent: dict[str, list[int]] = {}
         for seq, name in job.bound.items():
             seqs_by_agent.setdefault(name, []).append(seq)
--- a/src/ferryledge/core/_arbiter.py
+++ b/src/ferryledge/core/_arbiter.py
@@ -105,7 +105,10 @@
         return granted
 
     def revoke(self, ticket: str, submission: str) -> None:
-        """Make a ticket usable again when its submission ran no task."""
+        """Withdraw the authorisation of a submission that ran no task.
+
+        The ticket becomes usable again.
+        """
         self._tickets.revoke(ticket, submission)
 
     def _on_settle(self, message: wire.Settle) -> None:
@@ -129,7 +132,8 @@
     def settle_batch(self, batch: _batches.Batch) -> None:
         """Record the outcome of a job that ran entirely on this agent.
 
-        The ticket is revoked instead if no task reached the endpoint.
+        If no task reached the endpoint, the authorisation is withdrawn
+        instead, and the ticket becomes usable again.
         """
         if not batch.ticket:
             return
--- a/src/ferryledge/core/_front_jobs.py
+++ b/src/ferryledge/core/_front_jobs.py
@@ -36,7 +36,10 @@
 
 @dataclasses.dataclass(slots=True)
 class FrontJob:
-    """A client's job that is not answered yet."""
+    """A client's job that is not answered yet.
+
+    The front is the entry that took the job from the client and submits it.
+    """
 
     request: _requests.JobRequest
     #: Digest of the request, to compare repeated requests.
--- a/src/ferryledge/demo/__main__.py
+++ b/src/ferryledge/demo/__main__.py
@@ -82,10 +82,10 @@
 
 
 async def _submit(
-    caller: client.Client, job: client.Job, samples: list[_report.Sample]
+    job_client: client.Client, job: client.Job, samples: list[_report.Sample]
 ) -> None:
     started = anyio.current_time()
-    reply = await caller.submit(job)
+    reply = await job_client.submit(job)
     response_s = anyio.current_time() - started
     longest_s = max(task.payload["sleep_ms"] for task in job.tasks) / 1000.0
     samples.append(
@@ -98,13 +98,13 @@
     samples: list[_report.Sample] = []
     before = cluster.messages
     async with (
-        client.Client(cluster.urls) as caller,
+        client.Client(cluster.urls) as job_client,
         anyio.create_task_group() as group,
     ):
         for number in range(_JOBS):
             await anyio.sleep(rng.expovariate(_ARRIVALS_PER_S))
             job = _make_job(rng, number)
-            group.start_soon(_submit, caller, job, samples)
+            group.start_soon(_submit, job_client, job, samples)
             await _apply_events(cluster, number, len(samples))
     messages = cluster.messages - before
     return demo.summarise(samples, cluster.journal, messages)
--- a/src/ferryledge/demo/_report.py
+++ b/src/ferryledge/demo/_report.py
@@ -26,11 +26,14 @@
     """Counts of jobs, tasks and faults of a run, and its slowdowns."""
 
     jobs: int
+    #: Starts of tasks, including repeated ones.
     tasks: int
     complete: int
+    #: Jobs with any outcome other than complete and refused.
     failed: int
     refused: int
     double_starts: int
+    #: Replies whose results contradict their outcome.
     partial_answers: int
     messages_per_task: float
     slowdown_p50: float
@@ -66,7 +69,7 @@
     )
 
 
-def _is_partial(sample: Sample) -> bool:
+def _contradicts_outcome(sample: Sample) -> bool:
     """Return whether the results contradict the reply's outcome.
 
     A complete reply has the results of all tasks in order, and any other
@@ -103,7 +106,9 @@
         failed=len(samples) - complete - refused,
         refused=refused,
         double_starts=_double_starts(samples, journal),
-        partial_answers=sum(_is_partial(sample) for sample in samples),
+        partial_answers=sum(
+            _contradicts_outcome(sample) for sample in samples
+        ),
         messages_per_task=round(messages / max(1, started), 3),
         slowdown_p50=round(_percentile(slowdowns, 0.5), 3),
         slowdown_p99=round(_percentile(slowdowns, 0.99), 3),
--- a/src/ferryledge/entry/_daemon.py
+++ b/src/ferryledge/entry/_daemon.py
@@ -23,8 +23,9 @@
 from ferryledge import runtime
 
 _DRAIN_POLL_S = 0.02
-#: Seconds between the last answer and the close of the connections, so that
-#: clients and peers can read it.
+#: Seconds to wait after the last answer, and again between the stop of the
+#: HTTP server and the close of the streams, so that clients and peers can read
+#: what was sent.
 _FLUSH_DELAY_S = 0.2
 
 
--- a/src/ferryledge/logs/_budget.py
+++ b/src/ferryledge/logs/_budget.py
@@ -20,7 +20,7 @@
 
     lines_per_second: float = LINES_PER_SECOND
     burst: float = _BURST_LINES
-    #: Number of lines refused since :meth:`take_left_out` was called.
+    #: Number of lines left out since :meth:`take_left_out` was called.
     left_out: int = 0
     _tokens: float = _BURST_LINES
     _refilled_at: float = 0.0
@@ -42,14 +42,17 @@
         return True
 
     def take_left_out(self) -> int:
-        """Return the number of lines refused since the last call."""
+        """Return the number of lines left out since the last call."""
         left_out = self.left_out
         self.left_out = 0
         return left_out
 
 
 class NonBlockingSink:
-    """Writes lines to a file descriptor, and drops them if it is not ready.
+    """Writes lines to a file descriptor without ever blocking.
+
+    While the descriptor is not ready, up to 64 KiB are buffered; further lines
+    are dropped.
 
     :param descriptor: the descriptor, which is switched to non-blocking mode
     """
@@ -82,7 +85,7 @@
         self._pending = self._pending[written:]
 
     def flush(self) -> None:
-        """Do nothing, since each write goes to the descriptor at once."""
+        """Do nothing, since waiting for the descriptor could block."""
 
 
 def standard_output() -> typing.Any:
--- a/src/ferryledge/net/_daemon.py
+++ b/src/ferryledge/net/_daemon.py
@@ -9,7 +9,7 @@
 
 #: Exit code when a second signal aborted unfinished work.
 EXIT_ABORTED = 1
-#: uvloop takes less processor time than the event loop of asyncio.
+#: Selects uvloop, which takes less processor time than asyncio's event loop.
 _BACKEND_OPTIONS = {"use_uvloop": True}
 
 Main = abc.Callable[[anyio.Event], abc.Awaitable[None]]
--- a/src/ferryledge/net/_http.py
+++ b/src/ferryledge/net/_http.py
@@ -60,9 +60,9 @@
     :param connections: maximum number of concurrent calls; further calls
         wait. At most as many idle connections are kept.
     :param replace_idle: whether a call that times out also closes the idle
-        connections. They may be unresponsive too, and each would cost another
-        time-out; with time-outs of milliseconds that costs less than
-        reconnecting.
+        connections. They may be unresponsive too, and each would then cost
+        another time-out. Leave it off if time-outs last only milliseconds:
+        another time-out then costs less than reconnecting.
     :param permit_s: seconds after which a pending call no longer counts
         towards the limit of concurrent calls; defaults to never
     :param window_bytes: size in bytes of the receive buffer of a connection,
@@ -119,7 +119,7 @@
             ``answer_s`` restarts whenever a part of the response arrives.
         :raises ConnectError: if no connection could be opened; the request
             was not sent
-        :raises NoAnswerError: if the response is not received in time, or
+        :raises NoResponseError: if the response is not received in time, or
             the connection is lost
         """
         request = self._request_head(method, path, content, headers) + content
--- a/src/ferryledge/net/_server.py
+++ b/src/ferryledge/net/_server.py
@@ -58,7 +58,7 @@
     *,
     task_status: anyio_abc.TaskStatus[int],
 ) -> None:
-    """Serve until the event is set, then let open requests finish.
+    """Serve until ``stop`` is set, then let open requests finish.
 
     Reports the bound port.
 
--- a/src/ferryledge/runtime/_platform.py
+++ b/src/ferryledge/runtime/_platform.py
@@ -31,7 +31,10 @@
 
 
 class AppendLostError(PlatformError):
-    """An append got no valid response; the record may be in the log."""
+    """An append failed; the record may still be in the log.
+
+    It is raised for every failed append, even if the platform was not reached.
+    """
 
 
 class VmRole(enum.StrEnum):
@@ -90,11 +93,11 @@
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
-        self._caller = net.HttpClient(self._url, _MAX_CONNECTIONS)
+        self._http_client = net.HttpClient(self._url, _MAX_CONNECTIONS)
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._caller.close()
+        await self._http_client.close()
 
     async def read(self, position: int, wait_s: float) -> configlog.LogPage:
         """Read a page of the log.
@@ -123,7 +126,8 @@
     async def append(self, record: bytes) -> int:
         """Append a record and return its offset.
 
-        :raises AppendLostError: if the record may or may not be in the log
+        :raises AppendLostError: if there is no valid response; the record may
+            still be in the log
         """
         path = f"/v1/log/{_LOG_NAME}"
         try:
@@ -150,7 +154,7 @@
     ) -> bytes:
         try:
             with anyio.fail_after(wait_s):
-                response = await self._caller.call(method, path, body)
+                response = await self._http_client.call(method, path, body)
         except TimeoutError as exc:
             raise PlatformError(step, self._url, "no answer") from exc
         except net.CallError as exc:
--- a/src/ferryledge/standin/_leased_endpoint.py
+++ b/src/ferryledge/standin/_leased_endpoint.py
@@ -1,7 +1,7 @@
 """A simulated endpoint whose runs are held by a lease.
 
 It reads no clock of its own: the caller passes the current time to each
-call.
+call that depends on it.
 """
 
 from collections import abc
--- a/src/ferryledge/standin/_platform.py
+++ b/src/ferryledge/standin/_platform.py
@@ -19,8 +19,8 @@
 
     ``PUT /v1/vms`` replaces the list.
     ``PUT /control`` sets the faults: ``log_down``, ``log_delay_s``,
-    ``log_lose_answers``, ``log_forget`` (an offset), ``log_replace``,
-    ``vms_down`` and ``vms_empty``.
+    ``log_lose_answers``, ``log_forget`` (the offset before which records are
+    dropped), ``log_replace``, ``vms_down`` and ``vms_empty``.
     """
 
     def __init__(self) -> None:
--- a/src/ferryledge/wire/_handover_messages.py
+++ b/src/ferryledge/wire/_handover_messages.py
@@ -34,10 +34,16 @@
 
     name: str
     service: str
+    #: Lower numbers go first; 0 is the highest priority.
     priority: int
+    #: Failed runs of one task after which the job fails.
     attempts: int
+    #: The objective is ``stretch`` times the longest task's run time, plus
+    #: ``target_s``.
     stretch: float
+    #: Constant part of the objective, in seconds.
     target_s: float
+    #: How long an answer is useful, as a multiple of the objective.
     late_factor: float
 
 
@@ -50,6 +56,7 @@
     depends_on: tuple[int, ...] = ()
     label: str = ""
     max_per_endpoint: int = 0
+    #: Label of the endpoints near the step's data; empty for none.
     near: str = ""
 
 
@@ -85,8 +92,10 @@
     #: The receiver has the job already.
     KNOWN = "known"
     LEAVING = "leaving"
+    #: Not sent by this version.
     LINK = "link"
     MALFORMED = "malformed"
+    #: The receiver has too little free capacity by now.
     ROOM = "room"
 
 
@@ -94,6 +103,7 @@
     """Answer to an offer; nothing of a declined job was run."""
 
     delegator: str
+    #: Number of the offer.
     number: int
     #: Why the offer was declined; none if it was accepted.
     declined: DeclineReason | None = None
@@ -115,6 +125,7 @@
     """The end of a handed-over job, reported to the delegator."""
 
     delegator: str
+    #: Number of the offer.
     number: int
     how: HandoverOutcome
     #: A value of :class:`ferryledge.outcomes.Reason`; empty unless the job
@@ -125,9 +136,10 @@
 
 
 class WithdrawJob(_messages.Model, frozen=True, tag="withdraw"):
-    """The delegator no longer needs a job: the receiver stops its runs."""
+    """The delegator no longer needs a job: the delegate stops its runs."""
 
     delegator: str
+    #: Number of the offer.
     number: int
 
 
@@ -135,20 +147,24 @@
     """Request for a grant to go on running jobs of the delegator."""
 
     delegator: str
+    #: Number of the request, which its grant repeats.
     number: int
     #: Numbers of the offers of these jobs.
     offers: tuple[int, ...]
 
 
 class HandoverGrant(_messages.Model, frozen=True, tag="grant-handed-in"):
-    """A grant, which starts when the request with this number was sent.
+    """Lets the delegate go on running the listed jobs.
 
-    The receiver stops the requested jobs that the grant does not list. The
-    grant also confirms all messages that were sent before the request.
+    The grant's period begins when its request was sent. The delegate stops
+    the requested jobs that the grant does not list. The grant also confirms
+    all messages that the delegate sent before the request.
     """
 
     delegator: str
+    #: Number of the request that it answers.
     number: int
+    #: Numbers of the offers of the jobs that may go on.
     offers: tuple[int, ...]
 
 
--- a/src/ferryledge/wire/_messages.py
+++ b/src/ferryledge/wire/_messages.py
@@ -1,8 +1,11 @@
-"""The messages that entries and agents exchange.
+"""The messages between entries and agents, and between entries.
 
 Each message is a validated model: the decoder checks the type of every
 field. A message is encoded as an array that begins with its tag. New fields
 are appended with a default, which keeps old and new versions compatible.
+
+A submission is a job, or a part of one, as an entry sends it to one scheduler.
+Its identifier holds the entry's incarnation and a number of that entry.
 """
 
 import enum
@@ -48,7 +51,7 @@
     cordons: bool = False
     #: Whether the sender accepts differences between configurations.
     config_deltas: bool = False
-    #: Whether the sender, having a wide link, reads configurations for others.
+    #: Whether the sender may read configurations on behalf of its peers.
     reads_configs: bool = False
     #: Whether the sender accepts jobs that other entries hand over.
     takes_jobs: bool = False
@@ -69,7 +72,10 @@
 
 
 class StartTasks(Model, frozen=True, tag="start"):
-    """Tasks of one job that the agent starts at once or releases."""
+    """Tasks of one job that the agent starts at once.
+
+    Those that it doesn't start are reported in :class:`TasksReleased`.
+    """
 
     #: Incarnation of the agent that the message is for.
     incarnation: str
@@ -85,9 +91,10 @@
     report_each: bool = True
     #: Expected memory of one task in MB.
     memory_mb: int = 0
-    #: Client's name for the job, for journals and logs.
+    #: Client's name for the job, for journals and logs; for a job with a
+    #: ticket, the digest of the request that the ticket is bound to.
     label: str = ""
-    #: Ticket that the tasks use, if the agent is its arbiter.
+    #: Ticket that the tasks use, if this agent minted it.
     ticket: str = ""
 
 
@@ -115,15 +122,23 @@
 class ReleaseReason(enum.StrEnum):
     """Why an agent did not start a task."""
 
+    #: No slot, connection or memory is free for the task.
     BUSY = "busy"
     CANCELLED = "cancelled"
+    #: A :class:`FenceOwner` covers the task.
     FENCED = "fenced"
+    #: The message is for another incarnation of the agent.
     INCARNATION = "incarnation"
     LEAVING = "leaving"
+    #: The message has another number of payloads than of indices.
     MALFORMED = "malformed"
+    #: The task's number is not above all earlier ones of its scheduler.
     STALE = "stale"
+    #: The submission may not use the ticket.
     TICKET = "ticket"
+    #: The call did not reach the endpoint.
     UNREACHABLE = "unreachable"
+    #: The task had not arrived when :class:`Reconcile` asked for it.
     UNSEEN = "unseen"
 
 
@@ -168,8 +183,10 @@
     deadline_s: float = 0.0
     #: Weight of the job's urgency; jobs with a larger weight run earlier.
     urgency: float = 1.0
+    #: Names of the places where the tasks may run; empty for no restriction.
     places: tuple[str, ...] = ()
     ticket: str = ""
+    #: Like :attr:`StartTasks.label`.
     label: str = ""
     repeatable: bool = True
 
@@ -189,7 +206,7 @@
 
 
 class JobAnswered(Model, frozen=True, tag="answer"):
-    """The complete answer to a job, from the scheduler to the front."""
+    """The complete answer to a job, sent to the entry that submitted it."""
 
     submission: str
     outcome: OutcomeRecord
@@ -211,7 +228,7 @@
 
 
 class CancelJob(Model, frozen=True, tag="cancel-job"):
-    """The front no longer needs the job."""
+    """The entry that submitted the job no longer needs it."""
 
     submission: str
 
@@ -250,7 +267,8 @@
 
     #: Incarnation of the lost scheduler.
     owner: str
-    #: Number of the sender's latest submission.
+    #: Number of the sender's latest submission when it lost the scheduler. The
+    #: agent refuses that scheduler's tasks of all submissions up to this one.
     through: int
     submissions: tuple[str, ...]
 
--- a/src/ferryledge/wire/_stream_events.py
+++ b/src/ferryledge/wire/_stream_events.py
@@ -9,8 +9,7 @@
 class Event(msgspec.Struct, frozen=True, eq=False):
     """Base class of the events and the actions of a core.
 
-    A msgspec struct is cheaper to define than a dataclass, which shortens
-    the start of a process.
+    Instances are compared by identity unless a subclass sets ``eq=True``.
     """
 
 
