--- a/src/ferryledge/health/_tracker.py
+++ b/src/ferryledge/health/_tracker.py
@@ -134,7 +134,7 @@
 
         :param endpoint: the endpoint that ran the task
         :param service: the task's service
-        :param job: submission of the task's job
+        :param job: identifier of the task's job
         :param ok: whether the task succeeded
         :param now: monotonic seconds
         """
@@ -198,13 +198,13 @@
         self._records[endpoint].state = Probing(sent=True)
 
     def probe_lost(self, endpoint: str) -> None:
-        """Record that the probing task never started, to allow another."""
+        """Allow another probing task, since the last one never started."""
         record = self._records.get(endpoint)
         if record is not None and isinstance(record.state, Probing):
             record.state = Probing()
 
     def next_probe_at(self) -> float:
-        """Return the end of the next ejection, in monotonic seconds.
+        """Return the earliest end of an ejection, in monotonic seconds.
 
         Infinity if no endpoint is ejected.
         """
--- a/src/ferryledge/hosted/_config_pace.py
+++ b/src/ferryledge/hosted/_config_pace.py
@@ -62,16 +62,18 @@
     def delivery_timeout_s(self) -> float:
         """Return the seconds within which a remote reader must deliver.
 
+        It is another process that reads configurations for this one.
+
         After that, just enough time remains to read the configuration from
         the store, even if it is far larger than the previous one.
         """
-        return self._latest_start_s(_LARGE_BYTES)
+        return self._max_wait_s(_LARGE_BYTES)
 
     def poll_interval_s(self) -> float:
         """Return the seconds between polls while a remote reader is used."""
         return min(_MAX_POLL_S, _POLL_SHARE * self.delivery_timeout_s())
 
-    def _latest_start_s(self, size: int) -> float:
+    def _max_wait_s(self, size: int) -> float:
         return max(0.0, _PLANNED_SHARE * self.bound_s - self.read_s(size))
 
     def read_interval_s(self, size: int) -> float:
@@ -80,7 +82,7 @@
         :param size: bytes of the previous configuration
         """
         average_s = size / (_AVERAGE_SHARE * self.link_bytes_per_s)
-        return min(self._latest_start_s(size), average_s)
+        return min(self._max_wait_s(size), average_s)
 
 
 def window_bytes(link_bytes_per_s: float) -> int:
--- a/src/ferryledge/hosted/_entry.py
+++ b/src/ferryledge/hosted/_entry.py
@@ -120,6 +120,7 @@
         :param drain: set when the process is to stop
         """
         settings = self._settings
+        # Never set: the servers end when the task group is cancelled.
         stop = anyio.Event()
         release = anyio.Event()
         own = wire.EntryAddress(
--- a/src/ferryledge/leases/_agent_notes.py
+++ b/src/ferryledge/leases/_agent_notes.py
@@ -175,7 +175,7 @@
         )
 
     def renewed(self, fault: _agent_events.CallFault | None = None) -> None:
-        """Count a renewal of the endpoint's lease.
+        """Count an ended renewal of the endpoint's lease.
 
         :param fault: why it failed; none if it succeeded
         """
--- a/src/ferryledge/leases/_entry.py
+++ b/src/ferryledge/leases/_entry.py
@@ -36,8 +36,8 @@
 from ferryledge import placement
 from ferryledge import wire
 
-#: Seconds between reviews of jobs that no run was ordered for.
-_REVIEW_S = 0.02
+#: Seconds between sweeps while there are jobs that no run was ordered for.
+_BUSY_SWEEP_S = 0.02
 #: Seconds between checks for silent peers and passed deadlines.
 _SWEEP_S = 0.1
 #: Delay of a sweep in seconds beyond which the process counts as paused.
@@ -45,8 +45,8 @@
 #: Seconds before the client's deadline at which an unfinished job is answered.
 _DEADLINE_MARGIN_S = 0.05
 #: Seconds within which a grant request is answered. The delay lets answers to
-#: several agents, and orders that carry a grant, share a tick. It is shorter
-#: than the handshake that an agent starts when an answer is overdue.
+#: several agents, and orders that carry a grant, share a tick. It is far
+#: shorter than the time after which an agent opens a new stream.
 _ANSWER_WITHIN_S = 0.002
 _NEVER = float("inf")
 
@@ -151,14 +151,14 @@
         self._awaiting_grant: dict[str, _pool.AgentRow] = {}
         self._draining = False
         self._next_sweep = 0.0
-        self._dirty = False
+        self._placement_due = False
         #: When to tick for the events received since the last tick.
         self._tick_by = _NEVER
         self._now = 0.0
 
     @property
     def open_jobs(self) -> int:
-        """Number of jobs whose clients wait for an answer."""
+        """Number of jobs without an answer, also those of other entries."""
         return len(self._jobs.open)
 
     @property
@@ -265,8 +265,8 @@
         self._handover.check(now)
         if now >= self._next_sweep:
             self._sweep(now)
-        if self._dirty or self._scheduler.is_link_free(now):
-            self._dirty = False
+        if self._placement_due or self._scheduler.is_link_free(now):
+            self._placement_due = False
             self._scheduler.place(now)
         for job in self._handover.offer_and_reclaim(now):
             self._jobs.drop_if_over(job)
@@ -284,7 +284,7 @@
         return actions
 
     def wake_at(self) -> float:
-        """Return the latest time of the next tick, in monotonic seconds."""
+        """Return when to tick at the latest for any cause, in monotonic s."""
         return min(
             self._tick_by,
             self._next_sweep,
@@ -293,11 +293,11 @@
         )
 
     def tick_by(self) -> float:
-        """Return the latest time to tick for events since the last tick."""
+        """Return when to tick at the latest for received events alone."""
         return self._tick_by
 
     def _sweep_interval_s(self) -> float:
-        return _REVIEW_S if self._jobs.undispatched else _SWEEP_S
+        return _BUSY_SWEEP_S if self._jobs.undispatched else _SWEEP_S
 
     def _send(self, peer: str, message: wire.Message) -> None:
         self._link.note_sent(self._now, _uplink.size_of(message))
@@ -346,8 +346,8 @@
         """Store a job until it is answered and its runs are over."""
         self._jobs.add(job)
         self._scheduler.note_arrival(now, job)
-        self._next_sweep = min(self._next_sweep, now + _REVIEW_S)
-        self._dirty = True
+        self._next_sweep = min(self._next_sweep, now + _BUSY_SWEEP_S)
+        self._placement_due = True
 
     def _attach(
         self,
@@ -364,7 +364,7 @@
             job.arrived_at = now
             for task in job.all_tasks:
                 task.failures = 0
-        self._dirty = True
+        self._placement_due = True
 
     def _client_left(self, now: float, token: int, name: str) -> None:
         job = self._jobs.find(name)
@@ -392,6 +392,7 @@
 
     def _reply(self, tokens: list[int], outcome: outcomes.JobOutcome) -> None:
         for token in tokens:
+            # Negative tokens stand for requests of other entries.
             if token < 0:
                 self._handover.answer(token, outcome)
                 continue
@@ -435,12 +436,12 @@
                 self._pool.leave(name, incarnation)
 
     def _apply_cordons(self, has_changed: bool) -> None:
-        """Apply a new set of cordoned zones to the pool."""
+        """Apply the cordoned zones to the pool if they have changed."""
         if not has_changed:
             return
         self._pool.apply_cordons()
         self._notes.cordoned(self._cordons.state)
-        self._dirty = True
+        self._placement_due = True
 
     def _on_message(
         self, now: float, peer: str, message: wire.Message
@@ -471,7 +472,7 @@
                 self._send_all(self._agent_search.invite(now, message))
             case _:
                 if self._handover.receive(now, peer, message):
-                    self._dirty = True
+                    self._placement_due = True
 
     def _on_agent_message(
         self, now: float, row: _pool.AgentRow, message: wire.Message
@@ -489,7 +490,7 @@
                 row.leaving = True
             case _:
                 self._on_runs_message(now, row, message)
-                self._dirty = True
+                self._placement_due = True
                 self._tick_by = now
 
     def _on_ask(
@@ -561,7 +562,7 @@
             )
             self._runs.update_zone_failures(now, row, zone_failures)
         if self._jobs.has_waiting_tasks:
-            self._dirty = True
+            self._placement_due = True
             self._tick_by = now
 
     # Periodic checks.
@@ -587,7 +588,7 @@
         self._runs.start_due_probes(now)
         self._sweep_jobs(now)
         self._handover.schedule_offers()
-        self._dirty = self._dirty or len(self._jobs) > 0
+        self._placement_due = self._placement_due or len(self._jobs) > 0
 
     def _sweep_jobs(self, now: float) -> None:
         self._jobs.expire(now)
--- a/src/ferryledge/leases/_handover.py
+++ b/src/ferryledge/leases/_handover.py
@@ -21,7 +21,7 @@
 
 
 class Handover:
-    """Offers jobs to other entries that start too late here, and takes theirs.
+    """Offers other entries jobs that would start too late here; takes theirs.
 
     :param incarnation: the incarnation of this process
     :param zone: its availability zone
@@ -87,7 +87,7 @@
 
     @property
     def takes_jobs(self) -> bool:
-        """Whether this entry accepts jobs of other entries."""
+        """Whether handovers are enabled here; also true while draining."""
         return self._is_enabled
 
     # Events.
@@ -170,7 +170,7 @@
         if job.is_delegated:
             self._outgoing.withdraw(job)
 
-    # Systems.
+    # Periodic work.
 
     def schedule_offers(self) -> None:
         """Let the next :meth:`offer_and_reclaim` look for jobs to offer."""
@@ -181,7 +181,9 @@
         self._incoming.check(now)
 
     def offer_and_reclaim(self, now: float) -> list[_jobs.Job]:
-        """Offer jobs that would start too late here, and renew leases.
+        """Offer late jobs, refuse deferred ones and take back expired ones.
+
+        Renewals are requested for the jobs of other entries that run here.
 
         :param now: monotonic seconds
         :return: jobs that came back from other entries, to be run here
--- a/src/ferryledge/leases/_owners.py
+++ b/src/ferryledge/leases/_owners.py
@@ -3,7 +3,7 @@
 A grant lets the agent renew an entry's runs for a limited time. The agent
 requests a new one with an ask (:class:`ferryledge.wire.GrantRequest`), and the
 entry answers with a grant. Asks are numbered, and a grant counts from the
-time at which the ask was sent that it answers.
+time at which the ask that it answers was sent.
 """
 
 from collections import abc
@@ -16,7 +16,7 @@
 from ferryledge.leases import _timing
 from ferryledge import wire
 
-#: Most unconfirmed ends that are kept for an entry.
+#: Maximum number of unconfirmed ends that are kept for an entry.
 _MAX_UNCONFIRMED = 2000
 #: Bounds in seconds of the time after which a stream without an answer counts
 #: as silent. The longest leaves time to open a new stream before the grant
@@ -42,7 +42,7 @@
     #: Availability zone of the entry.
     zone: str = ""
     connected: bool = True
-    #: When the ask was sent that the last grant answers.
+    #: When the ask that the last grant answers was sent.
     granted_at: float = float("-inf")
     #: When each ask without a grant was sent, by its number.
     asks: dict[int, float] = msgspec.field(default_factory=dict)
@@ -67,7 +67,7 @@
     #: Number of the last ask and when it was sent.
     last_ask: int = 0
     last_asked_at: float = float("-inf")
-    #: When each ask was sent that must be answered, by its number.
+    #: When each ask that must be answered was sent, by its number.
     unanswered_asks: dict[int, float] = msgspec.field(default_factory=dict)
     #: How long the entry's answers take.
     answer_times: _answer_times.AnswerTimes = msgspec.field(
@@ -90,7 +90,7 @@
 
     @property
     def oldest_unanswered_at(self) -> float:
-        """When the oldest ask was sent that still must be answered."""
+        """When the oldest ask that still must be answered was sent."""
         return next(iter(self.unanswered_asks.values()), float("inf"))
 
     @property
@@ -282,7 +282,7 @@
 
         :param owner: the entry
         :param now: monotonic seconds
-        :param busy: whether the entry has runs here
+        :param busy: whether the entry has runs here or is sent an end
         :param at_once: whether the entry must answer in any case
         """
         self._last_ask += 1
@@ -345,7 +345,7 @@
     def keep_unconfirmed(self, owner: Owner, message: wire.RunsEnded) -> None:
         """Keep an end until the entry confirms it.
 
-        The entry does by answering an ask that is sent with it or later.
+        An answer to any ask sent with the end or after it confirms the end.
         """
         if len(owner.unconfirmed) < _MAX_UNCONFIRMED:
             owner.unconfirmed.append((owner.last_ask, message))
@@ -355,7 +355,7 @@
     ) -> wire.RunsEnded:
         """Return an end, with an ask if none was sent recently.
 
-        Otherwise an ask is sent soon that confirms this end and others.
+        Otherwise an ask that is sent soon confirms this end and others.
         """
         due = owner.last_asked_at + _CONFIRM_EVERY_S
         if now < due:
--- a/src/ferryledge/leases/_quarantine.py
+++ b/src/ferryledge/leases/_quarantine.py
@@ -55,8 +55,8 @@
 def usable_room(row: _pool.AgentRow, share: float, tasks: int) -> UsableRoom:
     """Return the part of an endpoint's free capacity that is to be used.
 
-    An idle endpoint gets at least one task, since only a task can show
-    whether the endpoint has recovered.
+    An endpoint that awaits a probe, or that is idle and has no share, gets at
+    most one task, since only a task can show whether it has recovered.
 
     :param row: the endpoint's agent
     :param share: share of its capacity to use
--- a/src/ferryledge/limits/_admission.py
+++ b/src/ferryledge/limits/_admission.py
@@ -51,7 +51,7 @@
     :param load: the load that the job would find
     :param tasks: the job's number of tasks
     :param deadline_s: seconds until the job's deadline; 0 is no deadline
-    :param max_waiting_tasks: most tasks that may wait
+    :param max_waiting_tasks: maximum number of tasks that may wait
     :param guards: whether to refuse jobs that would miss their deadline
     """
     wait_s = load.work_before_s / max(1, load.slots)
--- a/src/ferryledge/limits/_fairness.py
+++ b/src/ferryledge/limits/_fairness.py
@@ -1,7 +1,8 @@
 """Fair sharing of slots between workspaces.
 
 A workspace that uses more than its fair share of the slots has its waiting
-jobs deferred in proportion. While slots are free, no job is held back.
+jobs deferred in proportion. This changes only the order of waiting jobs: while
+slots are free, no job is held back.
 """
 
 
--- a/src/ferryledge/limits/_retry.py
+++ b/src/ferryledge/limits/_retry.py
@@ -9,7 +9,7 @@
     The limit keeps retries from amplifying an outage.
 
     :param ratio: retries earned by each first attempt
-    :param most: most unused retries that are kept
+    :param most: maximum number of unused retries that are kept
     """
 
     def __init__(self, ratio: float = 0.1, most: float = 10.0) -> None:
--- a/src/ferryledge/net/_http.py
+++ b/src/ferryledge/net/_http.py
@@ -119,7 +119,7 @@
             ``answer_s`` restarts whenever a part of the response arrives.
         :raises ConnectError: if no connection could be opened; the request
             was not sent
-        :raises NoAnswerError: if the response is not received in time, or
+        :raises NoResponseError: if the response is not received in time, or
             the connection is lost
         """
         request = self._request_head(method, path, content, headers) + content
--- a/src/ferryledge/net/_http_connection.py
+++ b/src/ferryledge/net/_http_connection.py
@@ -127,8 +127,8 @@
             it restarts whenever a part of the response arrives.
         :param rate: returns the rate at which to read the body; defaults to
             no limit
-        :raises NoAnswerError: if the response is not received in time, or the
-            connection is lost before
+        :raises NoResponseError: if the response is not received in time, or
+            the connection is lost before
         """
         loop = asyncio.get_running_loop()
         self.reusable = False
--- a/src/ferryledge/placement/_choice.py
+++ b/src/ferryledge/placement/_choice.py
@@ -6,7 +6,8 @@
 from ferryledge.placement import _runtimes
 from ferryledge.placement import _tables
 
-#: Relative slowness up to which an endpoint counts as normal.
+#: Slowness relative to the median of the usable endpoints, up to which an
+#: endpoint counts as normal.
 NORMAL_SLOWNESS = 1.5
 
 
--- a/src/ferryledge/placement/_pools.py
+++ b/src/ferryledge/placement/_pools.py
@@ -2,7 +2,8 @@
 
 Every process computes the assignment by rendezvous hashing over the names
 that it knows. Processes that know different names may disagree for a time.
-This costs messages but starts no task twice, since agents admit starts.
+This costs messages but starts no task twice, since an agent's ledger lets each
+bound task start at most once.
 """
 
 from collections import abc
--- a/src/ferryledge/placement/_runtimes.py
+++ b/src/ferryledge/placement/_runtimes.py
@@ -15,7 +15,8 @@
 _MIN_RUN_S = 1e-4
 _SERVICE_DECAY = 0.02
 _SLOWNESS_DECAY = 0.06
-#: Weight of the prior in samples.
+#: Weight, in samples, of the assumption that an endpoint has slowness 1. Also
+#: the samples of a service from which on its runs show endpoints' slowness.
 _PRIOR_SAMPLES = 4
 _INITIAL_ERROR = 1.0
 
@@ -129,11 +130,11 @@
         log_run_s = math.log(max(run_s, _MIN_RUN_S))
         if row.log_mean.samples >= _PRIOR_SAMPLES:
             average.add(log_run_s - row.log_mean.value)
-        log_normal_s = log_run_s - math.log(self.slowness(endpoint))
-        row.mean_error.add((log_normal_s - row.log_mean.value) ** 2)
-        row.log_mean.add(log_normal_s)
+        log_run_at_normal_s = log_run_s - math.log(self.slowness(endpoint))
+        row.mean_error.add((log_run_at_normal_s - row.log_mean.value) ** 2)
+        row.log_mean.add(log_run_at_normal_s)
         if declared_s > 0:
-            bias = log_normal_s - math.log(declared_s)
+            bias = log_run_at_normal_s - math.log(declared_s)
             error = bias - row.declared_bias.value
             row.declared_error.add(error * error)
             row.declared_bias.add(bias)
--- a/src/ferryledge/placement/_waiting.py
+++ b/src/ferryledge/placement/_waiting.py
@@ -14,7 +14,7 @@
 
 #: One in this many picks goes to the oldest job past the age bound.
 AGED_PICK_EVERY = 4
-#: Most jobs that one pass may skip because they can't be placed.
+#: Maximum number of jobs that one pass may skip because they can't be placed.
 MAX_SKIPPED = 64
 
 
@@ -42,7 +42,7 @@
         return work * self.ideal_s / self.urgency
 
 
-#: A workspace's jobs as tuples of key, entry number and submission.
+#: A workspace's jobs as tuples of key, push number and submission.
 _Heap = list[tuple[float, int, str]]
 
 
@@ -63,7 +63,7 @@
         self._fair_share_penalty = fair_share_penalty
         self._jobs: dict[str, WaitingJob] = {}
         self._heaps: dict[str, _Heap] = {}
-        self._entry_numbers: dict[str, int] = {}
+        self._push_numbers: dict[str, int] = {}
         self._counter = itertools.count()
         self._tasks = 0
         self._work_s = 0.0
@@ -125,7 +125,7 @@
         self._tasks -= count
         self._work_s -= count * job.expected_s
         if not job.tasks:
-            self._remove_entry(job.submission)
+            self._forget_job(job.submission)
         return indices
 
     def remove(self, submission: str) -> WaitingJob | None:
@@ -135,7 +135,7 @@
             return None
         self._tasks -= len(job.tasks)
         self._work_s -= len(job.tasks) * job.expected_s
-        self._remove_entry(submission)
+        self._forget_job(submission)
         return job
 
     def candidates(self, now: float) -> abc.Iterator[WaitingJob]:
@@ -151,7 +151,7 @@
                 if job is None:
                     return
                 self._pick_count += 1
-                self._entry_numbers.pop(job.submission, None)
+                self._push_numbers.pop(job.submission, None)
                 skipped.append(job)
                 yield job
                 if not job.tasks:
@@ -165,16 +165,16 @@
         if self._pick_count % AGED_PICK_EVERY:
             return None
         oldest = next(iter(self._jobs.values()))
-        is_queued = oldest.submission in self._entry_numbers
+        is_queued = oldest.submission in self._push_numbers
         if is_queued and now - oldest.arrived_at > self._age_bound_s:
             return oldest
         return None
 
     def _push(self, job: WaitingJob) -> None:
-        entry_number = next(self._counter)
-        self._entry_numbers[job.submission] = entry_number
+        push_number = next(self._counter)
+        self._push_numbers[job.submission] = push_number
         heap = self._heaps.setdefault(job.workspace, [])
-        heapq.heappush(heap, (job.key, entry_number, job.submission))
+        heapq.heappush(heap, (job.key, push_number, job.submission))
 
     def _pop(self) -> WaitingJob | None:
         workspace = self._next_workspace()
@@ -198,13 +198,13 @@
         )
 
     def _drop_stale(self, workspace: str) -> None:
-        """Remove outdated entries from the head of a workspace's heap."""
+        """Remove outdated items from the head of a workspace's heap."""
         heap = self._heaps[workspace]
-        while heap and self._entry_numbers.get(heap[0][2]) != heap[0][1]:
+        while heap and self._push_numbers.get(heap[0][2]) != heap[0][1]:
             heapq.heappop(heap)
         if not heap:
             del self._heaps[workspace]
 
-    def _remove_entry(self, submission: str) -> None:
+    def _forget_job(self, submission: str) -> None:
         del self._jobs[submission]
-        self._entry_numbers.pop(submission, None)
+        self._push_numbers.pop(submission, None)
--- a/src/ferryledge/platform/_endpoint.py
+++ b/src/ferryledge/platform/_endpoint.py
@@ -23,7 +23,9 @@
     "failed": wire.RunOutcome.FAILED,
     "stopped": wire.RunOutcome.STOPPED,
     "lapsed": wire.RunOutcome.LAPSED,
+    # Another run of its gang ended.
     "broken": wire.RunOutcome.STOPPED,
+    # It waited too long for the other runs of its gang.
     "alone": wire.RunOutcome.STOPPED,
 }
 _START_RESULTS = {
@@ -248,4 +250,5 @@
             return leases.StartResult.UNHEALTHY
         case 400:
             return leases.StartResult.REJECTED
+    # Unknown status: as after a time-out, the run may have started.
     return leases.StartResult.SILENT
--- a/src/ferryledge/platform/standin/_store.py
+++ b/src/ferryledge/platform/standin/_store.py
@@ -11,7 +11,7 @@
 
 _LENGTH_BYTES = 4
 _OFFSET_BYTES = 8
-#: Seconds by which a silent store delays an answer.
+#: Seconds by which a silent store, or one that loses answers, is delayed.
 _SILENCE_S = 30.0
 
 
@@ -19,8 +19,11 @@
     """How the store answers."""
 
     UP = "up"
+    #: All calls are handled and answered late, after ``_SILENCE_S``.
     SILENT = "silent"
+    #: Calls are refused with status 503.
     BUSY = "busy"
+    #: Calls take a quarter of a second.
     SLOW = "slow"
     #: Writes take effect, but are not answered in time.
     LOST = "lost"
--- a/src/ferryledge/policy/_compiled.py
+++ b/src/ferryledge/policy/_compiled.py
@@ -2,7 +2,9 @@
 
 A program that fails at run time is ignored: the job keeps the urgency that
 the client requested, may run in every zone and isn't refused. Failures are
-part of the result, for metrics, logs and explanations.
+part of the result, for metrics, logs and explanations. Only
+:meth:`CompiledPolicy.allows` raises; its caller then keeps the zones that
+were requested.
 """
 
 import dataclasses
--- a/src/ferryledge/policy/_program.py
+++ b/src/ferryledge/policy/_program.py
@@ -11,11 +11,11 @@
 
 import simpleeval
 
-#: Most characters of a program.
+#: Maximum number of characters of a program.
 MAX_CHARACTERS = 500
-#: Most nodes of a program's syntax tree.
+#: Maximum number of nodes of a program's syntax tree.
 MAX_NODES = 120
-#: Most characters of a program's result.
+#: Maximum number of characters of a program's result.
 _MAX_TEXT = 200
 
 Value = bool | int | float | str
