--- a/src/ferryledge/leases/tests/test_silent_orders.py
+++ b/src/ferryledge/leases/tests/test_silent_orders.py
@@ -131,7 +131,7 @@
         watch(what, key, endpoint)
 
     for endpoint in world.endpoints.values():
-        endpoint._watch = note
+        endpoint._on_run_event = note
     world.late_orders = 1.0
     world.submit("entry-0", "f" * 16, count=1, work_s=0.2)
     world.run(0.003)
